--- a/packages/gateway/plantainshed_gateway/gateway.py
+++ b/packages/gateway/plantainshed_gateway/gateway.py
@@ -23,7 +23,7 @@
 from .peer_messages import PeerMessages
 from .peers import Peers
 from .placement import Placement
-from .poison import PoisonBook
+from .poison import PoisonTracker
 from .ports import Collection, Item
 from .queueing import QueueLimits
 from .quota import Quotas
@@ -68,7 +68,7 @@
         self.limits = ConnectionLimits()
         self.heartbeat_number = 0
         self.followers: dict[Collection, Follower] = {}
-        self.poison = PoisonBook()
+        self.poison = PoisonTracker()
         self.members = Members(self._own_heartbeat({}, {}))
         self.speakers = Speakers(self.members)
         self.registry = Registry(settings.region_of)
--- a/packages/gateway/plantainshed_gateway/peer_messages.py
+++ b/packages/gateway/plantainshed_gateway/peer_messages.py
@@ -14,7 +14,7 @@
 from .logs import DecisionLog
 from .members import Members
 from .peers import Peers, fetch_state
-from .poison import PoisonBook
+from .poison import PoisonTracker
 from .ports import Collection
 from .replication import Follower
 from .speakers import Speakers
@@ -34,7 +34,7 @@
     members : Members
     speakers : Speakers
     loans : Loans
-    poison : PoisonBook
+    poison : PoisonTracker
     followers : dict of Collection to Follower
     log : DecisionLog
 
@@ -50,7 +50,7 @@
         members: Members,
         speakers: Speakers,
         loans: Loans,
-        poison: PoisonBook,
+        poison: PoisonTracker,
         followers: dict[Collection, Follower],
         log: DecisionLog,
     ):
--- a/packages/gateway/plantainshed_gateway/poison.py
+++ b/packages/gateway/plantainshed_gateway/poison.py
@@ -36,7 +36,7 @@
     until: float
 
 
-class PoisonBook:
+class PoisonTracker:
     """Which targets died under which requests, here and at other VMs."""
 
     def __init__(self):
--- a/packages/gateway/plantainshed_gateway/serving.py
+++ b/packages/gateway/plantainshed_gateway/serving.py
@@ -21,7 +21,7 @@
 from .forwarding import Answer, Forwarder
 from .members import Members
 from .placement import Placement
-from .poison import PoisonBook, fingerprint
+from .poison import PoisonTracker, fingerprint
 from .queueing import QueueLimits
 from .reasons import Reason
 from .registry import TargetState
@@ -71,7 +71,7 @@
         forwarder: Forwarder,
         retries: RetryBudgets,
         members: Members,
-        poison: PoisonBook,
+        poison: PoisonTracker,
         queues: QueueLimits,
     ):
         self.log = context.log
--- a/packages/measure/plantainshed_measure/limits_model.py
+++ b/packages/measure/plantainshed_measure/limits_model.py
@@ -19,7 +19,7 @@
 from plantainshed_gateway.model import Workspace
 from plantainshed_gateway.peer_messages import PeerMessages
 from plantainshed_gateway.peers import HEARTBEAT_S, NEWS_EVERY, Peers
-from plantainshed_gateway.poison import PoisonBook
+from plantainshed_gateway.poison import PoisonTracker
 from plantainshed_gateway.quota import Quotas
 from plantainshed_gateway.round_trips import RoundTrips
 from plantainshed_gateway.settings import Bounds
@@ -75,7 +75,7 @@
         self.incarnation = incarnation
         self.state = VmState.STARTING
         self.heartbeat_number = 0
-        self.poison = PoisonBook()
+        self.poison = PoisonTracker()
         log = NoLog()
         self.members = Members(self._heartbeat({}))
         self.speakers = Speakers(self.members)
--- a/tests/gateway/linked_fleet.py
+++ b/tests/gateway/linked_fleet.py
@@ -13,7 +13,7 @@
 from plantainshed_gateway.model import Workspace
 from plantainshed_gateway.peer_messages import PeerMessages
 from plantainshed_gateway.peers import Peers
-from plantainshed_gateway.poison import PoisonBook
+from plantainshed_gateway.poison import PoisonTracker
 from plantainshed_gateway.quota import Quotas
 from plantainshed_gateway.round_trips import RoundTrips
 from plantainshed_gateway.speakers import Speakers
@@ -62,7 +62,13 @@
         )
         self.loans = Loans(self.quotas, self.members, self.peers.send, self.round_trips)
         self.messages = PeerMessages(
-            self.peers, self.members, self.speakers, self.loans, PoisonBook(), {}, log
+            self.peers,
+            self.members,
+            self.speakers,
+            self.loans,
+            PoisonTracker(),
+            {},
+            log,
         )
         for domain in fleet.region_of:
             if fleet.region_of[domain] != fleet.region_of[self.domain]:
--- a/tests/gateway/test_limits.py
+++ b/tests/gateway/test_limits.py
@@ -3,7 +3,7 @@
 import trio
 
 from plantainshed_gateway.cold import ColdTargets
-from plantainshed_gateway.poison import PoisonBook, fingerprint
+from plantainshed_gateway.poison import PoisonTracker, fingerprint
 from plantainshed_gateway.registry import TargetState
 from plantainshed_gateway.retry_budget import RetryBudgets
 from tests.gateway.gateway_support import BOUNDS, POOL, make_entry
@@ -85,7 +85,7 @@
 
         Each repeat costs another target, wherever it arrives.
         """
-        here, there = PoisonBook(), PoisonBook()
+        here, there = PoisonTracker(), PoisonTracker()
         here.note_death(self.mark(), "i-1")
         here.note_death(self.mark(), "i-2")
         self.assertFalse(here.is_stopped(self.mark()))
@@ -98,7 +98,7 @@
 
     @on_mock_clock
     async def test_answered_request_is_cleared(self):
-        book = PoisonBook()
+        book = PoisonTracker()
         for instance in ("i-1", "i-2", "i-3"):
             book.note_death(self.mark(), instance)
         book.note_answered(self.mark())
@@ -106,7 +106,7 @@
 
     @on_mock_clock
     async def test_free_again_after_a_while(self):
-        book = PoisonBook()
+        book = PoisonTracker()
         for instance in ("i-1", "i-2", "i-3"):
             book.note_death(self.mark(), instance)
         await trio.sleep(31)
