--- a/packages/gateway/plantainshed_gateway/poison.py
+++ b/packages/gateway/plantainshed_gateway/poison.py
@@ -42,7 +42,7 @@
     def __init__(self):
         self._deaths: dict[str, dict[str, _Death]] = {}
 
-    def note_death(self, mark: str, instance: str):
+    def note_crash(self, mark: str, instance: str):
         """Note that a target died while it ran a request."""
         until = trio.current_time() + DEATH_COUNTS_S
         self._deaths.setdefault(mark, {}).setdefault(instance, _Death(until))
@@ -78,4 +78,4 @@
     def take(self, told: tuple[tuple[str, str], ...]):
         """Take in what another VM tells."""
         for mark, instance in told:
-            self.note_death(mark, instance)
+            self.note_crash(mark, instance)
--- a/packages/gateway/plantainshed_gateway/serving.py
+++ b/packages/gateway/plantainshed_gateway/serving.py
@@ -278,7 +278,7 @@
             connection = await self.forwarder.connections.open(state)
         except ConnectFailed:
             state.note_unreachable()
-            self.poison.note_death(call.mark, state.entry.instance)
+            self.poison.note_crash(call.mark, state.entry.instance)
             self.log.event(
                 "target died under request",
                 request_id=call.request.request_id,
--- a/tests/gateway/test_limits.py
+++ b/tests/gateway/test_limits.py
@@ -86,10 +86,10 @@
         Each repeat costs another target, wherever it arrives.
         """
         here, there = PoisonTracker(), PoisonTracker()
-        here.note_death(self.mark(), "i-1")
-        here.note_death(self.mark(), "i-2")
+        here.note_crash(self.mark(), "i-1")
+        here.note_crash(self.mark(), "i-2")
         self.assertFalse(here.is_stopped(self.mark()))
-        there.note_death(self.mark(), "i-3")
+        there.note_crash(self.mark(), "i-3")
         here.take(there.to_tell())
         there.take(here.to_tell())
         self.assertTrue(here.is_stopped(self.mark()))
@@ -100,7 +100,7 @@
     async def test_answered_request_is_cleared(self):
         book = PoisonTracker()
         for instance in ("i-1", "i-2", "i-3"):
-            book.note_death(self.mark(), instance)
+            book.note_crash(self.mark(), instance)
         book.note_answered(self.mark())
         self.assertFalse(book.is_stopped(self.mark()))
 
@@ -108,7 +108,7 @@
     async def test_free_again_after_a_while(self):
         book = PoisonTracker()
         for instance in ("i-1", "i-2", "i-3"):
-            book.note_death(self.mark(), instance)
+            book.note_crash(self.mark(), instance)
         await trio.sleep(31)
         self.assertFalse(book.is_stopped(self.mark()))
         self.assertEqual(book.to_tell(), ())
