--- a/packages/gateway/plantainshed_gateway/poison.py
+++ b/packages/gateway/plantainshed_gateway/poison.py
@@ -51,7 +51,7 @@
         """Note that a request was answered: targets died of something else."""
         self._deaths.pop(mark, None)
 
-    def is_stopped(self, mark: str) -> bool:
+    def is_blocked(self, mark: str) -> bool:
         """Tell whether such requests are refused for now."""
         deaths = self._deaths.get(mark)
         if not deaths:
--- a/packages/gateway/plantainshed_gateway/serving.py
+++ b/packages/gateway/plantainshed_gateway/serving.py
@@ -190,7 +190,7 @@
             self.metrics.count_retry(failure.reason, call.pool)
 
     def _refuse_poison(self, call: Call):
-        if self.poison.is_stopped(call.mark):
+        if self.poison.is_blocked(call.mark):
             refusal = self._given_up(
                 call, Reason.POISON, "targets died while they ran this request"
             )
--- a/tests/gateway/test_limits.py
+++ b/tests/gateway/test_limits.py
@@ -88,13 +88,13 @@
         here, there = PoisonTracker(), PoisonTracker()
         here.note_crash(self.mark(), "i-1")
         here.note_crash(self.mark(), "i-2")
-        self.assertFalse(here.is_stopped(self.mark()))
+        self.assertFalse(here.is_blocked(self.mark()))
         there.note_crash(self.mark(), "i-3")
         here.take(there.to_tell())
         there.take(here.to_tell())
-        self.assertTrue(here.is_stopped(self.mark()))
-        self.assertTrue(there.is_stopped(self.mark()))
-        self.assertFalse(here.is_stopped(self.mark(b"another seat")))
+        self.assertTrue(here.is_blocked(self.mark()))
+        self.assertTrue(there.is_blocked(self.mark()))
+        self.assertFalse(here.is_blocked(self.mark(b"another seat")))
 
     @on_mock_clock
     async def test_answered_request_is_cleared(self):
@@ -102,7 +102,7 @@
         for instance in ("i-1", "i-2", "i-3"):
             book.note_crash(self.mark(), instance)
         book.note_answered(self.mark())
-        self.assertFalse(book.is_stopped(self.mark()))
+        self.assertFalse(book.is_blocked(self.mark()))
 
     @on_mock_clock
     async def test_free_again_after_a_while(self):
@@ -110,5 +110,5 @@
         for instance in ("i-1", "i-2", "i-3"):
             book.note_crash(self.mark(), instance)
         await trio.sleep(31)
-        self.assertFalse(book.is_stopped(self.mark()))
+        self.assertFalse(book.is_blocked(self.mark()))
         self.assertEqual(book.to_tell(), ())
