--- a/packages/gateway/plantainshed_gateway/gateway.py
+++ b/packages/gateway/plantainshed_gateway/gateway.py
@@ -225,7 +225,7 @@
             control=settings.listen.control,
             newest=newest,
             use=use,
-            deaths=self.poison.to_tell(),
+            deaths=self.poison.recent_crashes(),
         )
 
     def _make_heartbeat(self) -> Heartbeat:
--- a/packages/gateway/plantainshed_gateway/poison.py
+++ b/packages/gateway/plantainshed_gateway/poison.py
@@ -63,7 +63,7 @@
             del self._deaths[mark]
         return len(fresh) >= DEATHS_TO_STOP
 
-    def to_tell(self) -> tuple[tuple[str, str], ...]:
+    def recent_crashes(self) -> tuple[tuple[str, str], ...]:
         """Return the newest deaths, for other VMs."""
         now = trio.current_time()
         fresh = [
