--- a/packages/gateway/plantainshed_gateway/peer_messages.py
+++ b/packages/gateway/plantainshed_gateway/peer_messages.py
@@ -162,12 +162,12 @@
     def _take_news(self, news: DomainNews) -> bool:
         if not self.members.take_news(news):
             return False
-        self.poison.take(news.deaths)
+        self.poison.merge(news.deaths)
         self._follow(news.newest, news.control, is_near=False)
         return True
 
     def _on_heartbeat(self, heartbeat: Heartbeat):
-        self.poison.take(heartbeat.deaths)
+        self.poison.merge(heartbeat.deaths)
         self._follow(heartbeat.newest, heartbeat.control, is_near=True)
 
     def _follow(self, newest_of: dict[str, int], control: str, is_near: bool):
--- a/packages/gateway/plantainshed_gateway/poison.py
+++ b/packages/gateway/plantainshed_gateway/poison.py
@@ -75,7 +75,7 @@
         newest = sorted(fresh, reverse=True)[:MOST_TOLD]
         return tuple((mark, instance) for _, mark, instance in newest)
 
-    def take(self, told: tuple[tuple[str, str], ...]):
+    def merge(self, told: tuple[tuple[str, str], ...]):
         """Take in what another VM tells."""
         for mark, instance in told:
             self.note_crash(mark, instance)
