--- a/packages/gateway/plantainshed_gateway/poison.py
+++ b/packages/gateway/plantainshed_gateway/poison.py
@@ -22,7 +22,9 @@
 MOST_TOLD = 16
 
 
-def fingerprint(workspace: str | None, method: str, target: str, body: bytes) -> str:
+def compute_fingerprint(
+    workspace: str | None, method: str, target: str, body: bytes
+) -> str:
     """Return what recognises the same request when it is sent again."""
     digest = xxhash.xxh3_64()
     for part in (workspace or "", method, target):
--- a/packages/gateway/plantainshed_gateway/serving.py
+++ b/packages/gateway/plantainshed_gateway/serving.py
@@ -21,7 +21,7 @@
 from .forwarding import Answer, Forwarder
 from .members import Members
 from .placement import Placement
-from .poison import PoisonTracker, fingerprint
+from .poison import PoisonTracker, compute_fingerprint
 from .queueing import QueueLimits
 from .reasons import Reason
 from .registry import TargetState
@@ -170,7 +170,7 @@
 
     async def _attempt_until_answered(self, exchange: Exchange, call: Call):
         excluded: set[str] = set()
-        call.mark = fingerprint(
+        call.mark = compute_fingerprint(
             call.workspace_name, call.head.method, call.head.target, call.body
         )
         while True:
--- a/tests/gateway/test_limits.py
+++ b/tests/gateway/test_limits.py
@@ -3,7 +3,7 @@
 import trio
 
 from plantainshed_gateway.cold import ColdTargets
-from plantainshed_gateway.poison import PoisonTracker, fingerprint
+from plantainshed_gateway.poison import PoisonTracker, compute_fingerprint
 from plantainshed_gateway.registry import TargetState
 from plantainshed_gateway.retry_budget import RetryBudgets
 from tests.gateway.gateway_support import BOUNDS, POOL, make_entry
@@ -77,7 +77,7 @@
 
 class TestPoison(unittest.TestCase):
     def mark(self, body=b"x"):
-        return fingerprint("comune", "POST", "/book/1", body)
+        return compute_fingerprint("comune", "POST", "/book/1", body)
 
     @on_mock_clock
     async def test_stopped_after_three_targets_died(self):
