--- a/packages/gateway/plantainshed_gateway/gateway.py
+++ b/packages/gateway/plantainshed_gateway/gateway.py
@@ -311,14 +311,14 @@
     async def _catch_up_after(self, paused_s: float):
         """Learn what changed while this process stood still."""
         self.log.event("was paused", seconds=round(paused_s, 3))
-        self.serving.is_awake = False
+        self.serving.is_caught_up = False
         self.state_taker.note_pause()
         for follower in self.followers.values():
             follower.list_again()
         with trio.move_on_after(CATCH_UP_S):
             while not all(replica.is_confirmed for replica in self.replicas.values()):
                 await trio.sleep(CATCH_UP_STEP_S)
-        self.serving.is_awake = True
+        self.serving.is_caught_up = True
         self.log.event(
             "caught up",
             confirmed=[n for n, copy in self.replicas.items() if copy.is_confirmed],
--- a/packages/gateway/plantainshed_gateway/serving.py
+++ b/packages/gateway/plantainshed_gateway/serving.py
@@ -56,7 +56,7 @@
         Requests that were read and not yet answered.
     is_ready : trio.Event
         Set once this VM knows what it needs to serve.
-    is_awake : bool
+    is_caught_up : bool
         False after a pause of this process, until it has caught up.
     takes_until : float
         When requests are no longer taken, because too little of the time to stop
@@ -87,7 +87,7 @@
         self.in_flight = 0
         self.is_ready = trio.Event()
         self.started_at = trio.current_time()
-        self.is_awake = True
+        self.is_caught_up = True
         self.takes_until = math.inf
 
     async def serve(self, exchange: Exchange):
@@ -114,7 +114,7 @@
     def _require_awake(self):
         # After a pause this VM would accept keys that were withdrawn meanwhile
         # and send to targets that are gone.
-        if not self.is_awake:
+        if not self.is_caught_up:
             raise Refusal(
                 HTTPStatus.SERVICE_UNAVAILABLE,
                 Reason.WAS_PAUSED,
