--- a/packages/gateway/plantainshed_gateway/daemon.py
+++ b/packages/gateway/plantainshed_gateway/daemon.py
@@ -147,7 +147,7 @@
         self.stopping.is_announced = True
         await self.gateway.announce_leaving()
         accept_until = began_at + accept_s(within_s)
-        self.gateway.serving.takes_until = accept_until + STOP_GRACE_S
+        self.gateway.serving.accepts_until = accept_until + STOP_GRACE_S
         self._log_stopping("leaving announced", within_s=within_s)
         await trio.sleep_until(accept_until)
         self.stopping.set()
--- a/packages/gateway/plantainshed_gateway/serving.py
+++ b/packages/gateway/plantainshed_gateway/serving.py
@@ -58,7 +58,7 @@
         Set once this VM knows what it needs to serve.
     is_caught_up : bool
         False after a pause of this process, until it has caught up.
-    takes_until : float
+    accepts_until : float
         When requests are no longer taken, because too little of the time to stop
         is left for them to be run.
     """
@@ -88,7 +88,7 @@
         self.is_ready = trio.Event()
         self.started_at = trio.current_time()
         self.is_caught_up = True
-        self.takes_until = math.inf
+        self.accepts_until = math.inf
 
     async def serve(self, exchange: Exchange):
         """Answer one request, by a target or by a refusal."""
@@ -126,7 +126,7 @@
         # A connection that was taken in time may send the rest of a request much
         # later. Passed on, it would be broken off at its target when the time to
         # stop runs out, with no answer.
-        if trio.current_time() > self.takes_until:
+        if trio.current_time() > self.accepts_until:
             raise Refusal(
                 HTTPStatus.SERVICE_UNAVAILABLE,
                 Reason.STOPPING,
