--- a/packages/gateway/plantainshed_gateway/admission.py
+++ b/packages/gateway/plantainshed_gateway/admission.py
@@ -62,7 +62,7 @@
             route=route,
             workspace=workspace,
             body=body,
-            answer_by=began_at + min(caller_s, route.timeout_s),
+            deadline=began_at + min(caller_s, route.timeout_s),
             wait_until=began_at + min(caller_s, route.timeout_s + GRACE_S),
             pool=self.splitter.choose(route, object_key),
             began_at=began_at,
--- a/packages/gateway/plantainshed_gateway/call.py
+++ b/packages/gateway/plantainshed_gateway/call.py
@@ -21,7 +21,7 @@
     route : Route
     workspace : Workspace or None
     body : bytes
-    answer_by : float
+    deadline : float
         When the route's timeout, or the caller before it, gives up.
     wait_until : float
         Until when an answer that a target is making is still taken.
@@ -51,7 +51,7 @@
     route: Route
     workspace: Workspace | None
     body: bytes
-    answer_by: float
+    deadline: float
     wait_until: float
     pool: str
     began_at: float
@@ -74,7 +74,7 @@
     @property
     def seconds_left(self) -> float:
         """Time until the caller or the route gives up."""
-        return self.answer_by - trio.current_time()
+        return self.deadline - trio.current_time()
 
     @property
     def home_regions(self) -> frozenset[str]:
--- a/packages/gateway/plantainshed_gateway/queueing.py
+++ b/packages/gateway/plantainshed_gateway/queueing.py
@@ -66,6 +66,6 @@
             return True
         run_time_s = self._run_times[state.entry.pool].seconds
         round_trip_s = self.round_trips.known_s(state.entry.failure_domain) or 0.0
-        if wait_s + run_time_s + round_trip_s > call.answer_by - trio.current_time():
+        if wait_s + run_time_s + round_trip_s > call.deadline - trio.current_time():
             return False
         return wait_s <= call.route.objective_s * WAIT_PART_OF_OBJECTIVE
--- a/packages/measure/plantainshed_measure/placing_model.py
+++ b/packages/measure/plantainshed_measure/placing_model.py
@@ -301,7 +301,7 @@
             route=self.route,
             workspace=None,
             body=b"",
-            answer_by=now + self.world.timeout_s,
+            deadline=now + self.world.timeout_s,
             wait_until=now + self.world.timeout_s,
             pool=POOL,
             began_at=now,
