--- a/packages/gateway/plantainshed_gateway/admission.py
+++ b/packages/gateway/plantainshed_gateway/admission.py
@@ -63,7 +63,7 @@
             workspace=workspace,
             body=body,
             deadline=began_at + min(caller_s, route.timeout_s),
-            wait_until=began_at + min(caller_s, route.timeout_s + GRACE_S),
+            cancel_at=began_at + min(caller_s, route.timeout_s + GRACE_S),
             pool=self.splitter.choose(route, object_key),
             began_at=began_at,
         )
--- a/packages/gateway/plantainshed_gateway/call.py
+++ b/packages/gateway/plantainshed_gateway/call.py
@@ -23,7 +23,7 @@
     body : bytes
     deadline : float
         When the route's timeout, or the caller before it, gives up.
-    wait_until : float
+    cancel_at : float
         Until when an answer that a target is making is still taken.
     pool : str
         The one of the route's pools that this request goes to.
@@ -52,7 +52,7 @@
     workspace: Workspace | None
     body: bytes
     deadline: float
-    wait_until: float
+    cancel_at: float
     pool: str
     began_at: float
     taken_at: float = 0.0
--- a/packages/gateway/plantainshed_gateway/forwarding.py
+++ b/packages/gateway/plantainshed_gateway/forwarding.py
@@ -93,7 +93,7 @@
     async def _send(self, call: Call, state: TargetState, connection: ClientConnection):
         outgoing = Outgoing(
             instance=state.entry.instance,
-            deadline_s=max(0.001, call.wait_until - trio.current_time()),
+            deadline_s=max(0.001, call.cancel_at - trio.current_time()),
             workspace=call.workspace_name,
         )
         headers = self.wire.target_headers(call.head, outgoing)
--- a/packages/gateway/plantainshed_gateway/serving.py
+++ b/packages/gateway/plantainshed_gateway/serving.py
@@ -153,7 +153,7 @@
 
     async def _run(self, exchange: Exchange, call: Call):
         """Have a request answered in time, or raise `Refusal`."""
-        with trio.move_on_at(call.wait_until) as scope:
+        with trio.move_on_at(call.cancel_at) as scope:
             if not call.route.is_idempotent:
                 # A run that was begun is let end though its caller has left:
                 # broken off, nobody could tell whether it had taken effect.
--- a/packages/measure/plantainshed_measure/placing_model.py
+++ b/packages/measure/plantainshed_measure/placing_model.py
@@ -302,7 +302,7 @@
             workspace=None,
             body=b"",
             deadline=now + self.world.timeout_s,
-            wait_until=now + self.world.timeout_s,
+            cancel_at=now + self.world.timeout_s,
             pool=POOL,
             began_at=now,
         )
