--- a/packages/gateway/plantainshed_gateway/connections.py
+++ b/packages/gateway/plantainshed_gateway/connections.py
@@ -63,7 +63,9 @@
         self._told_s: dict[str, float] = {}
         self._distrust: dict[str, _Distrust] = {}
 
-    async def take(self, state: TargetState, is_idempotent: bool) -> ClientConnection:
+    async def acquire(
+        self, state: TargetState, is_idempotent: bool
+    ) -> ClientConnection:
         """Return a connection to use alone, or raise `ConnectFailed`."""
         kept = self._take_idle(state, is_idempotent)
         if kept is not None:
--- a/packages/gateway/plantainshed_gateway/forwarding.py
+++ b/packages/gateway/plantainshed_gateway/forwarding.py
@@ -84,7 +84,7 @@
 
     async def _connect(self, call: Call, state: TargetState) -> ClientConnection:
         try:
-            return await self.connections.take(state, call.route.is_idempotent)
+            return await self.connections.acquire(state, call.route.is_idempotent)
         except ConnectFailed as error:
             raise AttemptFailed(
                 Reason.CONNECT_FAILED, str(error), may_have_run=False
--- a/packages/measure/plantainshed_measure/placing_model.py
+++ b/packages/measure/plantainshed_measure/placing_model.py
@@ -221,7 +221,7 @@
         target = self.fleet.targets[state.entry.address]
         one_way_s = self.fleet.round_trip_s(self.region, target.region) / 2
         state.in_flight += 1
-        connection = await self.connections.take(state, is_idempotent=False)
+        connection = await self.connections.acquire(state, is_idempotent=False)
         await trio.sleep(one_way_s)
         is_first = await target.run(name)
         load = target.load
--- a/tests/gateway/test_connections.py
+++ b/tests/gateway/test_connections.py
@@ -60,7 +60,7 @@
     async def exchange(self, state, is_idempotent=False, takes_s=0.2) -> bool:
         """Run one exchange; tell whether it had to wait for a connection."""
         began_at = trio.current_time()
-        connection = await self.connections.take(state, is_idempotent)
+        connection = await self.connections.acquire(state, is_idempotent)
         waited = trio.current_time() > began_at
         await trio.sleep(takes_s)
         self.connections.give_back(state, connection, TOLD_TEN_SECONDS)
