--- a/packages/gateway/plantainshed_gateway/connections.py
+++ b/packages/gateway/plantainshed_gateway/connections.py
@@ -96,7 +96,7 @@
             _close_now(kept.connection)
         return None
 
-    def give_back(
+    def release(
         self, state: TargetState, connection: ClientConnection, head: ResponseHead
     ):
         """Keep a connection whose exchange has ended, if it can be kept."""
--- a/packages/gateway/plantainshed_gateway/forwarding.py
+++ b/packages/gateway/plantainshed_gateway/forwarding.py
@@ -80,7 +80,7 @@
             # the beginning of the next one's answer.
             await connection.aclose()
             return
-        self.connections.give_back(state, connection, answer.head)
+        self.connections.release(state, connection, answer.head)
 
     async def _connect(self, call: Call, state: TargetState) -> ClientConnection:
         try:
@@ -140,7 +140,7 @@
             )
         if said.did_not_run:
             await _drain(connection)
-            self.connections.give_back(state, connection, head)
+            self.connections.release(state, connection, head)
             raise AttemptFailed(Reason.TARGET_BUSY, f"it said {head.status}", False)
         if 200 <= head.status < 300 and not _is_sound(said):
             raise AttemptFailed(
--- a/packages/measure/plantainshed_measure/placing_model.py
+++ b/packages/measure/plantainshed_measure/placing_model.py
@@ -228,7 +228,7 @@
         await trio.sleep(one_way_s)
         state.note_load(load)
         state.in_flight -= 1
-        self.connections.give_back(state, connection, KEPT_OPEN)
+        self.connections.release(state, connection, KEPT_OPEN)
         self.queues.note_answer(state, trio.current_time() - began_at)
         tally.first_runs += is_first
         tally.crossed += target.region != self.region
--- a/tests/gateway/test_connections.py
+++ b/tests/gateway/test_connections.py
@@ -63,7 +63,7 @@
         connection = await self.connections.acquire(state, is_idempotent)
         waited = trio.current_time() > began_at
         await trio.sleep(takes_s)
-        self.connections.give_back(state, connection, TOLD_TEN_SECONDS)
+        self.connections.release(state, connection, TOLD_TEN_SECONDS)
         return waited
 
 
