--- a/packages/gateway/plantainshed_gateway/gateway.py
+++ b/packages/gateway/plantainshed_gateway/gateway.py
@@ -19,7 +19,7 @@
 from .loans import Loans
 from .lookup import LookupTable
 from .members import Members
-from .pauses import PauseWatch
+from .pauses import PauseDetector
 from .peer_messages import PeerMessages
 from .peers import Peers
 from .placement import Placement
@@ -284,7 +284,7 @@
         self.log.event("registered", ip=settings.ip)
 
     async def _upkeep(self):
-        pauses = PauseWatch()
+        pauses = PauseDetector()
         while True:
             await trio.sleep(UPKEEP_S)
             paused_s = pauses.check(UPKEEP_S)
--- a/packages/gateway/plantainshed_gateway/pauses.py
+++ b/packages/gateway/plantainshed_gateway/pauses.py
@@ -14,7 +14,7 @@
 PAUSE_S = 1.0
 
 
-class PauseWatch:
+class PauseDetector:
     """Compares how long a sleep took with how long it should have."""
 
     def __init__(self):
