--- a/packages/gateway/plantainshed_gateway/splitting.py
+++ b/packages/gateway/plantainshed_gateway/splitting.py
@@ -56,7 +56,7 @@
         shares.note(pool)
         return pool
 
-    def keep(self, routes: set[tuple]):
+    def retain(self, routes: set[tuple]):
         """Forget routes that no configuration names any more."""
         self._shares = {key: s for key, s in self._shares.items() if key in routes}
 
--- a/packages/gateway/plantainshed_gateway/state_taker.py
+++ b/packages/gateway/plantainshed_gateway/state_taker.py
@@ -103,7 +103,7 @@
             return
         self.admission.configuration = configuration
         routes = [r for by in configuration.routes.values() for r in by.values()]
-        self.admission.splitter.keep({(r.name, r.pools) for r in routes})
+        self.admission.splitter.retain({(r.name, r.pools) for r in routes})
         self.registry.take_configuration(configuration)
         self.admission.quotas.workspaces = {
             workspace.name: workspace
