--- a/tests/gateway/gateway_support.py
+++ b/tests/gateway/gateway_support.py
@@ -36,7 +36,7 @@
 POOL = Pool("calendario", warmup_s=3.0, warmup_per_s=15.0)
 
 
-class NoLog:
+class RecordingLog:
     """Keeps the events that a log would write."""
 
     def __init__(self):
--- a/tests/gateway/test_copies_under_faults.py
+++ b/tests/gateway/test_copies_under_faults.py
@@ -9,7 +9,7 @@
 from plantainshed_gateway.freshness import Freshness
 from plantainshed_gateway.ports import Change, Changes, Collection, Item, Snapshot
 from plantainshed_gateway.replication import Follower, Replica
-from tests.gateway.gateway_support import NoLog
+from tests.gateway.gateway_support import RecordingLog
 from tests.support import on_mock_clock
 
 FOLLOWED = (Collection.CONFIGURATION, Collection.TARGETS, Collection.EVACUATIONS)
@@ -111,7 +111,9 @@
         self.store = FaultyStore(self.chance)
         self.vms = [
             {
-                collection: Follower(self.store, collection, lambda c: None, NoLog())
+                collection: Follower(
+                    self.store, collection, lambda c: None, RecordingLog()
+                )
                 for collection in FOLLOWED
             }
             for _ in range(3)
--- a/tests/gateway/test_freshness.py
+++ b/tests/gateway/test_freshness.py
@@ -9,7 +9,7 @@
 from plantainshed_gateway.ports import Change, Changes, Collection, Item, Snapshot
 from plantainshed_gateway.replication import LONGEST_RETRY_S, Follower
 from plantainshed_gateway.speakers import Speakers
-from tests.gateway.gateway_support import NoLog, make_heartbeat, make_members
+from tests.gateway.gateway_support import RecordingLog, make_heartbeat, make_members
 from tests.support import on_mock_clock
 
 INTERVAL_S = 2.0
@@ -116,7 +116,7 @@
 
     def __init__(self, store: RevisionedStore):
         self.store = store
-        self.log = NoLog()
+        self.log = RecordingLog()
         self.followers = {
             collection: Follower(store, collection, lambda c: None, self.log)
             for collection in FOLLOWED
@@ -230,7 +230,7 @@
         in_force_within_s = 2.0
         configuration = Collection.CONFIGURATION
         async with running_vm(poll_interval_s(in_force_within_s)) as vm:
-            other = Follower(vm.store, configuration, lambda c: None, NoLog())
+            other = Follower(vm.store, configuration, lambda c: None, RecordingLog())
             other.replica.revision = vm.followers[configuration].replica.revision
             vm.store.deaf = set(FOLLOWED)
             for follower in vm.followers.values():
--- a/tests/gateway/test_state.py
+++ b/tests/gateway/test_state.py
@@ -18,7 +18,7 @@
 )
 from plantainshed_gateway.replication import Follower, Replica
 from tests.gateway.gateway_support import (
-    NoLog,
+    RecordingLog,
     make_configuration,
     make_heartbeat,
     make_members,
@@ -127,7 +127,7 @@
         """
         changed = []
         follower = Follower(
-            SilentStore(), Collection.CONFIGURATION, changed.append, NoLog()
+            SilentStore(), Collection.CONFIGURATION, changed.append, RecordingLog()
         )
 
         async def fetch(peer, collection, after):
@@ -146,7 +146,9 @@
     @on_mock_clock
     async def test_peer_that_does_not_answer_keeps_no_other_from_being_asked(self):
         """A change known to one peer came late while another peer was asked."""
-        follower = Follower(SilentStore(), Collection.TARGETS, lambda c: None, NoLog())
+        follower = Follower(
+            SilentStore(), Collection.TARGETS, lambda c: None, RecordingLog()
+        )
         follower.replica.take_snapshot(Snapshot((), 7))
         told = Changes((Change(Item("b", 12, "newer"), False),), 12)
 
@@ -181,7 +183,7 @@
                 await trio.sleep(0.2)
                 return Snapshot((), revision)
 
-        follower = Follower(Slow(), Collection.TARGETS, lambda c: None, NoLog())
+        follower = Follower(Slow(), Collection.TARGETS, lambda c: None, RecordingLog())
         async with trio.open_nursery() as nursery:
             nursery.start_soon(follower.run)
             await trio.sleep(0.1)
@@ -208,7 +210,9 @@
                     raise HistoryGone("gone")
                 await trio.sleep_forever()
 
-        follower = Follower(Forgetful(), Collection.TARGETS, lambda c: None, NoLog())
+        follower = Follower(
+            Forgetful(), Collection.TARGETS, lambda c: None, RecordingLog()
+        )
         async with trio.open_nursery() as nursery:
             nursery.start_soon(follower.run)
             await trio.sleep(1)
@@ -234,7 +238,11 @@
 
         store, covered = Counting(), [True]
         follower = Follower(
-            store, Collection.TARGETS, lambda c: None, NoLog(), lambda: covered[0]
+            store,
+            Collection.TARGETS,
+            lambda c: None,
+            RecordingLog(),
+            lambda: covered[0],
         )
         changes = Changes((Change(Item("b", 12, "newer"), False),), 12)
 
@@ -258,7 +266,7 @@
     @on_mock_clock
     async def test_silent_watch_is_given_up(self):
         store = SilentStore()
-        log = NoLog()
+        log = RecordingLog()
         follower = Follower(store, Collection.TARGETS, lambda c: None, log)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(follower.run)
--- a/tests/gateway/test_state_taker.py
+++ b/tests/gateway/test_state_taker.py
@@ -11,7 +11,7 @@
 from plantainshed_http.server import ConnectionLimits
 from tests.gateway.gateway_support import (
     BOUNDS,
-    NoLog,
+    RecordingLog,
     make_configuration,
     make_entry,
     make_members,
@@ -56,7 +56,7 @@
     @on_mock_clock
     async def test_configuration_that_is_not_put_in_force_has_a_line(self):
         """A refused configuration looked like one that never came."""
-        log = NoLog()
+        log = RecordingLog()
         follower = Follower(None, Collection.CONFIGURATION, lambda c: None, log)
         taker = make_taker(VersionDecoder(), follower, log)
         for revision, version in ((5, 9), (6, 8)):
@@ -71,7 +71,7 @@
     @on_mock_clock
     async def test_entry_that_ran_out_is_kept_where_a_peer_hears_the_store_first(self):
         """A VM dropped living targets that a peer told it of before the store did."""
-        log = NoLog()
+        log = RecordingLog()
         follower = Follower(None, Collection.TARGETS, lambda c: None, log)
         taker = make_taker(NameDecoder(), follower, log)
         follower.note_regained()
@@ -85,7 +85,7 @@
     @on_mock_clock
     async def test_target_that_left_during_a_pause_gets_nothing_after_it(self):
         """A VM that woke sent requests to a target that had left for 1.8 s more."""
-        log = NoLog()
+        log = RecordingLog()
         follower = Follower(None, Collection.TARGETS, lambda c: None, log)
         taker = make_taker(NameDecoder(), follower, log)
         follower.note_regained()
@@ -99,8 +99,8 @@
     @on_mock_clock
     async def test_vm_that_leaves_watching_to_others_believes_them_at_once(self):
         """A VM whose last own watch went silent kept each target that had left."""
-        follower = Follower(None, Collection.TARGETS, lambda c: None, NoLog())
-        taker = make_taker(NameDecoder(), follower, NoLog())
+        follower = Follower(None, Collection.TARGETS, lambda c: None, RecordingLog())
+        taker = make_taker(NameDecoder(), follower, RecordingLog())
         follower.note_regained()
         take_targets(taker, 5, "i-0", "i-1")
         follower.note_lost("the watch went silent")
