--- a/packages/gateway/plantainshed_gateway/admission.py
+++ b/packages/gateway/plantainshed_gateway/admission.py
@@ -1,4 +1,4 @@
-"""Whose request it is and where it goes, before anything is sent."""
+"""Request admission: finds the route, workspace and pool, and applies the quota."""
 
 import math
 from http import HTTPStatus
@@ -16,23 +16,23 @@
 from .reasons import Reason
 from .splitting import Splitter
 
-# A VM that knows no configuration yet asks again this soon.
+# Retry-after of a VM that has no configuration yet.
 NOT_CONFIGURED_RETRY_S = 0.5
-# How long after a route's timeout an answer that a target is making is taken.
-# With a timeout of 1.2 s and first runs of 1.16 s on average, a fifth of the
-# requests of a day with restarts were cut just before their end, and their
-# objects stayed cold. Callers still have an answer a quarter of a second after
-# the timeout.
+# How long after a route's timeout a target's answer is still accepted. Without this
+# grace period, with a timeout of 1.2 s and first runs of 1.16 s on average, a fifth
+# of the requests of a day with restarts were cancelled just before they finished, and
+# their objects stayed cold. Callers still get an answer within a quarter of a second
+# after the timeout.
 GRACE_S = 0.18
 
 
 class Admission:
-    """Finds a request's route, workspace and pool, and takes its quota.
+    """Finds a request's route, workspace and pool, and takes a quota token.
 
     Attributes
     ----------
     configuration : Configuration or None
-        In force here; None before the first is known.
+        Configuration in force on this VM; None until the first one is loaded.
     """
 
     def __init__(self, wire: Wire, quotas: Quotas, loans: Loans):
@@ -43,9 +43,9 @@
         self.configuration: Configuration | None = None
 
     async def admit(self, head: RequestHead, body: bytes, began_at: float) -> Call:
-        """Return the request as a call, or raise `Refusal`."""
-        configuration = self._known_configuration()
-        request = self._read(head)
+        """Return the admitted request as a `Call`, or raise `Refusal`."""
+        configuration = self._require_configuration()
+        request = self._read_request(head)
         route = configuration.route_for(request.host, request.path)
         if route is None:
             raise Refusal(
@@ -53,27 +53,30 @@
                 Reason.NO_ROUTE,
                 f"no route of {request.host} serves {request.path}",
             )
-        workspace = _workspace_of(request, route, configuration)
+        workspace = _find_workspace(request, route, configuration)
         object_key = request.affinity or request.request_id
-        caller_s = math.inf if request.deadline_s is None else request.deadline_s
+        caller_timeout_s = (
+            math.inf if request.deadline_s is None else request.deadline_s
+        )
         call = Call(
             head=head,
             request=request,
             route=route,
             workspace=workspace,
             body=body,
-            deadline=began_at + min(caller_s, route.timeout_s),
-            cancel_at=began_at + min(caller_s, route.timeout_s + GRACE_S),
+            deadline=began_at + min(caller_timeout_s, route.timeout_s),
+            cancel_at=began_at + min(caller_timeout_s, route.timeout_s + GRACE_S),
             pool=self.splitter.choose(route, object_key),
             began_at=began_at,
         )
         await self.take_quota(call.workspace)
-        call.taken_at = trio.current_time()
+        call.quota_taken_at = trio.current_time()
         return call
 
-    def _known_configuration(self) -> Configuration:
+    def _require_configuration(self) -> Configuration:
         if self.configuration is None:
-            # A 404 or 401 would be final for the caller; soon it can be served.
+            # The request may succeed shortly. The caller would not retry after a 404
+            # or 401.
             raise Refusal(
                 HTTPStatus.SERVICE_UNAVAILABLE,
                 Reason.NOT_CONFIGURED,
@@ -82,7 +85,7 @@
             )
         return self.configuration
 
-    def _read(self, head: RequestHead) -> CallerRequest:
+    def _read_request(self, head: RequestHead) -> CallerRequest:
         try:
             return self.wire.read_request(head)
         except BadRequest as error:
@@ -91,7 +94,7 @@
             ) from error
 
     async def take_quota(self, workspace: Workspace | None):
-        """Take one request from a workspace's quota, or raise `Refusal`."""
+        """Take one token from a workspace's quota, or raise `Refusal`."""
         if workspace is None:
             return
         wait_s = self.quotas.admit(workspace)
@@ -104,19 +107,17 @@
             raise Refusal(
                 HTTPStatus.TOO_MANY_REQUESTS,
                 Reason.OVER_QUOTA,
-                f"workspace {workspace.name} is over its rate",
+                f"workspace {workspace.name} exceeds its rate limit",
                 wait_s,
             )
 
 
-def _workspace_of(
+def _find_workspace(
     request: CallerRequest, route: Route, configuration: Configuration
 ) -> Workspace | None:
     if route.is_public or not configuration.requires_keys:
         return None
     workspace = configuration.workspace_by_key.get(request.key or "")
     if workspace is None:
-        raise Refusal(
-            HTTPStatus.UNAUTHORIZED, Reason.UNKNOWN_KEY, "the key is not known"
-        )
+        raise Refusal(HTTPStatus.UNAUTHORIZED, Reason.UNKNOWN_KEY, "unknown API key")
     return workspace
--- a/packages/gateway/plantainshed_gateway/answers.py
+++ b/packages/gateway/plantainshed_gateway/answers.py
@@ -1,4 +1,4 @@
-"""Answers to callers: a target's own, or the gateway's refusal."""
+"""Answers to callers: forwarded answers of targets, and the gateway's refusals."""
 
 from http import HTTPStatus
 
@@ -16,10 +16,13 @@
 NO_BODY_STATUS = frozenset({HTTPStatus.NO_CONTENT, HTTPStatus.NOT_MODIFIED})
 
 
-async def pass_on(exchange: Exchange, answer: Answer):
-    """Give a target's answer to the caller, unchanged."""
+async def send_answer(exchange: Exchange, answer: Answer):
+    """Send a target's answer to the caller without changes to status or body.
+
+    Hop-by-hop headers are removed.
+    """
     headers = end_to_end(answer.head.headers)
-    if answer.rest is not None:
+    if answer.remaining is not None:
         await _stream(exchange, answer, headers)
     elif exchange.request.method == "HEAD" or answer.head.status in NO_BODY_STATUS:
         await exchange.start(answer.head.status, headers)
@@ -30,23 +33,23 @@
 
 
 async def _stream(exchange: Exchange, answer: Answer, headers: Headers):
-    """Pass on a long body piece by piece.
+    """Stream a long body to the caller.
 
-    If it breaks off, only breaking off the caller's connection shows that the
-    rest is missing.
+    If the target's connection breaks, the caller's connection is aborted, because
+    nothing else shows the caller that the body is incomplete.
     """
     await exchange.start(answer.head.status, headers)
     try:
         await exchange.send(answer.body)
-        async for piece in answer.rest:
-            await exchange.send(piece)
+        async for chunk in answer.remaining:
+            await exchange.send(chunk)
     except ConnectionBroken as error:
         raise trio.BrokenResourceError from error
     await exchange.finish()
 
 
 def refusal_headers(refusal: Refusal, wire: Wire) -> Headers:
-    """Return a refusal's headers; they may say when to come back."""
+    """Return a refusal's headers, with a retry-after header if it has one."""
     headers = [(b"content-type", b"application/json")]
     if refusal.retry_after_s is not None:
         headers.append(wire.retry_after(refusal.retry_after_s))
@@ -54,7 +57,7 @@
 
 
 def refusal_body(refusal: Refusal) -> bytes:
-    """Return what a person reads who looks at a refusal."""
+    """Return a refusal's JSON body, which explains it to a person."""
     return orjson.dumps(
         {
             "reason": refusal.reason,
--- a/packages/gateway/plantainshed_gateway/call.py
+++ b/packages/gateway/plantainshed_gateway/call.py
@@ -1,4 +1,4 @@
-"""A caller's request on its way through the gateway."""
+"""State of a caller's request while the gateway handles it."""
 
 import trio
 from attrs import define, field
@@ -12,7 +12,7 @@
 
 @define
 class Call:
-    """One request that has a route and, unless it is public, a workspace.
+    """A request with its route and, unless the route is public, its workspace.
 
     Parameters
     ----------
@@ -22,28 +22,29 @@
     workspace : Workspace or None
     body : bytes
     deadline : float
-        When the route's timeout, or the caller before it, gives up.
+        The route's timeout or the caller's deadline, whichever is earlier.
     cancel_at : float
-        Until when an answer that a target is making is still taken.
+        When the request is cancelled. Until then, a target's answer is accepted,
+        also after the route's timeout.
     pool : str
-        The one of the route's pools that this request goes to.
+        The pool of the route that this request goes to.
     began_at : float
 
     Attributes
     ----------
-    taken_at : float
-        When its token of the workspace's quota was taken.
+    quota_taken_at : float
+        When a token was taken from the workspace's quota.
     attempts : int
-        Targets that it was sent to.
+        Number of attempts so far.
     may_have_run : bool
-        Whether some attempt ended without saying that it did not run.
+        False only if every attempt so far certainly did not run.
     tried : list of str
-        Instances that it was meant for, for the log.
+        Instances chosen for its attempts, for the log.
     load, load_age_s : float or None
-        Requests that were expected at the last of them when it was chosen, and
-        how old its own report was; None if it had none.
-    mark : str
-        Recognises the same request when it is sent again.
+        Expected load of the last of these instances when it was chosen, and the age
+        of that instance's own load report, None if there was no report.
+    fingerprint : str
+        Identifies the same request when it is repeated; see `PoisonTracker`.
     """
 
     head: RequestHead
@@ -55,16 +56,16 @@
     cancel_at: float
     pool: str
     began_at: float
-    taken_at: float = 0.0
+    quota_taken_at: float = 0.0
     attempts: int = 0
     may_have_run: bool = False
     tried: list[str] = field(factory=list)
     load: float | None = None
     load_age_s: float | None = None
-    mark: str = ""
+    fingerprint: str = ""
 
     def note_chosen(self, state: TargetState):
-        """Note a target that it goes to, and what was known of it."""
+        """Record the target chosen for an attempt, and its load at that time."""
         self.tried.append(state.entry.instance)
         self.load = round(state.expected_load, 1)
         self.load_age_s = None
@@ -73,15 +74,16 @@
 
     @property
     def seconds_left(self) -> float:
-        """Time until the caller or the route gives up."""
+        """Seconds until the deadline."""
         return self.deadline - trio.current_time()
 
     @property
     def home_regions(self) -> frozenset[str]:
-        """The only regions that may serve it; empty for any.
+        """The only regions that may run this request; empty for any region.
 
-        Where route and workspace both name regions, both bind. Regions that
-        have none in common leave a set that no region is in.
+        If both the route and the workspace restrict the regions, the intersection
+        applies. If the intersection is empty, the result is a set that matches no
+        region.
         """
         of_route = self.route.home_regions
         of_workspace = self.workspace.home_regions if self.workspace else frozenset()
@@ -91,5 +93,5 @@
 
     @property
     def workspace_name(self) -> str | None:
-        """Name of the workspace, None for a public request without a key."""
+        """Name of the workspace; None if the request has no workspace."""
         return self.workspace.name if self.workspace else None
--- a/packages/gateway/plantainshed_gateway/connections.py
+++ b/packages/gateway/plantainshed_gateway/connections.py
@@ -1,9 +1,10 @@
-"""Connections to targets, kept for further requests.
+"""Pool of persistent connections to targets.
 
-A target closes a connection that was idle for too long, perhaps just as the next
-request is sent. Nobody can then tell whether it ran, so requests that must run at
-most once leave more of the time that the target allows than others. Targets of a
-pool that break connections sooner are believed to do so for a while.
+A target closes connections that are idle for too long, and may do so just as the next
+request is sent. It is then unknown whether that request ran. Requests that are not
+idempotent therefore reuse connections only for a smaller fraction of the target's
+idle timeout. If connections to a pool's targets break earlier than that, idle
+connections to the pool are reused for a shorter time for a while.
 """
 
 import contextlib
@@ -17,57 +18,59 @@
 from .registry import TargetState
 from .round_trips import RoundTrips
 
-# What a busy target takes to accept, beside the round trips. A lost first packet
-# is sent again after 1 s.
-ACCEPT_S = 0.4
-# Parts of the target's own idle timeout for which a connection is used again.
-USED_PART_OF_IDLE = 0.8
-USED_PART_OF_IDLE_ONCE = 0.6
-# Idle timeout that is assumed of targets that tell none, or none yet.
-IDLE_UNTOLD_S = 4.0
-# How long a pool's connections are used after less rest only, once one of them
-# broke when it was used again, and the part of that rest that they may have.
-DISTRUST_S = 8.0
-DISTRUST_PART = 0.5
-MOST_IDLE_EACH = 32
+# Time allowed for a busy target to accept a connection, in addition to the round
+# trips. A lost first packet is retransmitted after 1 s.
+ACCEPT_TIMEOUT_S = 0.4
+# Fraction of a target's idle timeout during which a connection is reused, for requests
+# that are idempotent and for those that are not.
+REUSE_FRACTION = 0.8
+NON_IDEMPOTENT_REUSE_FRACTION = 0.6
+# Idle timeout assumed for targets that have not advertised one.
+DEFAULT_IDLE_TIMEOUT_S = 4.0
+# After a reused connection broke, connections to its pool are reused only after shorter
+# idle times: for how long this applies, and the limit as a fraction of the idle time
+# of the broken connection.
+REDUCED_REUSE_S = 8.0
+REDUCED_REUSE_FRACTION = 0.5
+MAX_IDLE_PER_TARGET = 32
 
 
 @frozen
-class _Idle:
+class _IdleConnection:
     connection: ClientConnection
-    since: float
+    idle_since: float
     timeout_s: float
 
 
 @define
-class _Distrust:
-    rest_s: float
+class _ReducedReuse:
+    max_idle_s: float
     until: float
 
 
 class TargetConnections:
-    """Idle connections by target.
+    """Opens connections to targets and keeps idle ones for reuse.
 
     Parameters
     ----------
     round_trips : RoundTrips
     connect : callable, optional
-        Opens a connection to an ``IP:PORT`` within some seconds.
+        Opens a connection; gets an ``IP:PORT`` and a timeout in seconds.
     """
 
     def __init__(self, round_trips: RoundTrips, connect=ClientConnection.open):
         self.round_trips = round_trips
         self.connect = connect
-        self._idle: dict[str, list[_Idle]] = {}
-        # Idle timeouts that targets told, and shorter ones that were met, by pool.
-        self._told_s: dict[str, float] = {}
-        self._distrust: dict[str, _Distrust] = {}
+        self._idle: dict[str, list[_IdleConnection]] = {}
+        # By pool: idle timeouts that targets advertised, and reduced reuse limits.
+        self._advertised_s: dict[str, float] = {}
+        self._reduced_reuse: dict[str, _ReducedReuse] = {}
 
     async def acquire(
         self, state: TargetState, is_idempotent: bool
     ) -> ClientConnection:
-        """Return a connection to use alone, or raise `ConnectFailed`."""
-        kept = self._take_idle(state, is_idempotent)
+        """Return a connection for exclusive use, or raise `ConnectFailed`."""
+        kept = self._acquire_idle(state, is_idempotent)
         if kept is not None:
             return kept
         return await self.open(state)
@@ -75,23 +78,23 @@
     async def open(self, state: TargetState) -> ClientConnection:
         """Return a new connection, or raise `ConnectFailed`."""
         failure_domain = state.entry.failure_domain
-        timeout_s = ACCEPT_S + self.round_trips.wait_s(failure_domain)
+        timeout_s = ACCEPT_TIMEOUT_S + self.round_trips.wait_s(failure_domain)
         began_at = trio.current_time()
         connection = await self.connect(state.entry.address, timeout_s)
         self.round_trips.note(failure_domain, trio.current_time() - began_at)
         return connection
 
-    def _take_idle(
+    def _acquire_idle(
         self, state: TargetState, is_idempotent: bool
     ) -> ClientConnection | None:
         idle = self._idle.get(state.entry.instance)
-        part = USED_PART_OF_IDLE if is_idempotent else USED_PART_OF_IDLE_ONCE
+        fraction = REUSE_FRACTION if is_idempotent else NON_IDEMPOTENT_REUSE_FRACTION
         while idle:
             kept = idle.pop()
-            rested_s = trio.current_time() - kept.since
-            limit_s = self._rest_limit_s(state, kept, part)
-            if rested_s < limit_s and not kept.connection.stale:
-                kept.connection.rested_s = rested_s
+            idle_s = trio.current_time() - kept.idle_since
+            max_idle_s = self._max_idle_s(state, kept, fraction)
+            if idle_s < max_idle_s and not kept.connection.stale:
+                kept.connection.rested_s = idle_s
                 return kept.connection
             _close_now(kept.connection)
         return None
@@ -99,70 +102,95 @@
     def release(
         self, state: TargetState, connection: ClientConnection, head: ResponseHead
     ):
-        """Keep a connection whose exchange has ended, if it can be kept."""
-        told_s = _told_idle_s(head)
-        if told_s is not None:
-            self._told_s[state.entry.pool] = told_s
+        """Return a connection to the pool after an exchange, if it is reusable."""
+        timeout_s = _parse_keep_alive(head)
+        if timeout_s is not None:
+            self._advertised_s[state.entry.pool] = timeout_s
         self.keep(state, connection)
 
     def keep(self, state: TargetState, connection: ClientConnection):
-        """Keep a connection that nothing is under way on."""
+        """Keep an idle connection for reuse, or close it if it is not reusable."""
         idle = self._idle.setdefault(state.entry.instance, [])
-        if not connection.reusable or connection.stale or len(idle) >= MOST_IDLE_EACH:
+        if (
+            not connection.reusable
+            or connection.stale
+            or len(idle) >= MAX_IDLE_PER_TARGET
+        ):
             _close_now(connection)
             return
-        timeout_s = self._told_s.get(state.entry.pool, IDLE_UNTOLD_S)
-        idle.append(_Idle(connection, trio.current_time(), timeout_s))
+        timeout_s = self._advertised_s.get(state.entry.pool, DEFAULT_IDLE_TIMEOUT_S)
+        idle.append(_IdleConnection(connection, trio.current_time(), timeout_s))
 
     def has_idle(self, state: TargetState) -> bool:
-        """Tell whether a request for a target would find a connection."""
+        """Return whether an idle connection to a target can be reused."""
         now = trio.current_time()
         return any(
-            now - kept.since < self._rest_limit_s(state, kept, USED_PART_OF_IDLE_ONCE)
+            now - kept.idle_since
+            < self._max_idle_s(state, kept, NON_IDEMPOTENT_REUSE_FRACTION)
             for kept in self._idle.get(state.entry.instance, ())
         )
 
-    def _rest_limit_s(self, state: TargetState, kept: _Idle, part: float) -> float:
-        return min(kept.timeout_s * part, self._trusted_rest_s(state.entry.pool))
+    def _max_idle_s(
+        self, state: TargetState, kept: _IdleConnection, fraction: float
+    ) -> float:
+        return min(
+            kept.timeout_s * fraction, self._reduced_max_idle_s(state.entry.pool)
+        )
+
+    def note_broken(self, state: TargetState, idle_s: float, after_s: float):
+        """Record that a reused connection broke.
 
-    def note_broken(self, state: TargetState, rested_s: float, after_s: float):
-        """Take in that a connection broke so long after it was used again.
+        A target that has closed an idle connection resets it within a round trip. A
+        connection that breaks later has another cause.
 
-        A target that forgot it says so within a round trip; one that breaks later
-        has another fault.
+        Parameters
+        ----------
+        state : TargetState
+        idle_s : float
+            How long the connection was idle before it was reused; 0 if it was new.
+        after_s : float
+            How long after its reuse it broke.
         """
         failure_domain = state.entry.failure_domain
-        if not rested_s or after_s > self.round_trips.wait_s(failure_domain):
+        if not idle_s or after_s > self.round_trips.wait_s(failure_domain):
             return
-        rest_s = min(rested_s * DISTRUST_PART, self._trusted_rest_s(state.entry.pool))
-        until = trio.current_time() + DISTRUST_S
-        self._distrust[state.entry.pool] = _Distrust(rest_s, until)
+        max_idle_s = min(
+            idle_s * REDUCED_REUSE_FRACTION, self._reduced_max_idle_s(state.entry.pool)
+        )
+        until = trio.current_time() + REDUCED_REUSE_S
+        self._reduced_reuse[state.entry.pool] = _ReducedReuse(max_idle_s, until)
 
-    def _trusted_rest_s(self, pool: str) -> float:
-        distrust = self._distrust.get(pool)
-        if distrust is None or distrust.until < trio.current_time():
+    def _reduced_max_idle_s(self, pool: str) -> float:
+        reduced = self._reduced_reuse.get(pool)
+        if reduced is None or reduced.until < trio.current_time():
             return float("inf")
-        return distrust.rest_s
+        return reduced.max_idle_s
 
     def close_idle(self, instances: set[str]):
-        """Close what was idle for too long, or belongs to no known target."""
+        """Close connections that were idle for too long or have no known target.
+
+        Parameters
+        ----------
+        instances : set of str
+            Instances of the known targets.
+        """
         now = trio.current_time()
         for instance, idle in list(self._idle.items()):
             kept = [
-                one
-                for one in idle
+                entry
+                for entry in idle
                 if instance in instances
-                and now - one.since < one.timeout_s * USED_PART_OF_IDLE
+                and now - entry.idle_since < entry.timeout_s * REUSE_FRACTION
             ]
-            for one in idle:
-                if one not in kept:
-                    _close_now(one.connection)
+            for entry in idle:
+                if entry not in kept:
+                    _close_now(entry.connection)
             self._idle[instance] = kept
             if not kept:
                 del self._idle[instance]
 
 
-def _told_idle_s(head: ResponseHead) -> float | None:
+def _parse_keep_alive(head: ResponseHead) -> float | None:
     text = head.header(b"keep-alive") or ""
     for part in text.split(","):
         name, _, value = part.partition("=")
--- a/packages/gateway/plantainshed_gateway/forwarding.py
+++ b/packages/gateway/plantainshed_gateway/forwarding.py
@@ -1,4 +1,4 @@
-"""One attempt: a request goes to one target and its answer comes back."""
+"""Forwarding: sends a request to one target and reads the answer."""
 
 import contextlib
 
@@ -17,34 +17,34 @@
 from .reasons import Reason
 from .registry import TargetState
 
-# Answers up to this size are read whole before the caller gets the first byte,
-# so that a broken one can still be replaced by another attempt's.
-HELD_ANSWER_BYTES = 256 * 1024
-# Answers to other requests that are skipped on one connection.
-MOST_SKIPPED = 3
+# Answers up to this size are buffered completely before the caller gets the first
+# byte, so that the request can still be retried if the connection breaks.
+MAX_BUFFERED_BYTES = 256 * 1024
+# Maximum number of answers to other requests that are skipped on one connection.
+MAX_SKIPPED_ANSWERS = 3
 METHODS_WITHOUT_BODY = frozenset({"GET", "HEAD", "OPTIONS", "DELETE", "TRACE"})
 
 
 @frozen
 class Answer:
-    """A target's answer that can be passed on.
+    """A target's answer that can be sent to the caller.
 
     Parameters
     ----------
     head : ResponseHead
     body : bytes
-        All of it, or its first part if `rest` is set.
-    rest : AsyncIterator of bytes or None
-        What follows a body that is too large to be held.
+        The whole body, or its first part if `remaining` is set.
+    remaining : AsyncIterator of bytes or None
+        The rest of a body that is too large to buffer.
     """
 
     head: ResponseHead
     body: bytes
-    rest: object | None = None
+    remaining: object | None = None
 
 
 class Forwarder:
-    """Runs attempts at targets."""
+    """Sends requests to targets, one attempt at a time."""
 
     def __init__(self, wire: Wire, connections: TargetConnections, metrics: Metrics):
         self.wire = wire
@@ -52,22 +52,22 @@
         self.metrics = metrics
 
     @contextlib.asynccontextmanager
-    async def answer(self, call: Call, state: TargetState):
+    async def forward(self, call: Call, state: TargetState):
         """Yield a target's answer, or raise `AttemptFailed`.
 
-        The connection is the block's until it ends, because a long body is
-        still being read from it.
+        The connection stays in use until the `async with` block ends, because the
+        block may still read a long body from it.
         """
         connection = await self._connect(call, state)
         sent_at = trio.current_time()
         try:
-            await self._send(call, state, connection)
-            answer = await self._read(call, state, connection)
+            await self._send_request(call, state, connection)
+            answer = await self._read_answer(call, state, connection)
             yield answer
         except ConnectionBroken as error:
             after_s = trio.current_time() - sent_at
             self.connections.note_broken(state, connection.rested_s, after_s)
-            raise _broken(connection, str(error)) from error
+            raise _connection_failure(connection, str(error)) from error
         except AttemptFailed as failure:
             if failure.reason is not Reason.TARGET_BUSY:
                 await connection.aclose()
@@ -76,8 +76,8 @@
             await connection.aclose()
             raise
         if connection.has_more_at_hand:
-            # Bytes after the end belong to no request, and would be taken for
-            # the beginning of the next one's answer.
+            # Unexpected bytes after the end of the answer would be parsed as the
+            # start of the answer to the next request.
             await connection.aclose()
             return
         self.connections.release(state, connection, answer.head)
@@ -90,7 +90,9 @@
                 Reason.CONNECT_FAILED, str(error), may_have_run=False
             ) from error
 
-    async def _send(self, call: Call, state: TargetState, connection: ClientConnection):
+    async def _send_request(
+        self, call: Call, state: TargetState, connection: ClientConnection
+    ):
         outgoing = Outgoing(
             instance=state.entry.instance,
             deadline_s=max(0.001, call.cancel_at - trio.current_time()),
@@ -101,84 +103,96 @@
             headers.append((b"content-length", b"%d" % len(call.body)))
         await connection.send_head(call.head.method, call.head.target, headers)
         if call.body:
-            # With the head in one write: a target then has all of it or none.
+            # Head and body go out in one write, so that the target gets either the
+            # whole request or nothing.
             connection.add_body(call.body)
         await connection.end_request()
 
-    async def _read(
+    async def _read_answer(
         self, call: Call, state: TargetState, connection: ClientConnection
     ) -> Answer:
-        for _ in range(1 + MOST_SKIPPED):
+        for _ in range(1 + MAX_SKIPPED_ANSWERS):
             head = await connection.response_head()
-            said = self.wire.read_answer(head)
-            if said.request_id in (None, call.request.request_id):
+            metadata = self.wire.read_answer(head)
+            if metadata.request_id in (None, call.request.request_id):
                 break
-            # An answer to an earlier request, sent twice or late. Ours follows.
+            # This answers an earlier request and is a duplicate or late. The answer
+            # to this request follows.
             await _drain(connection)
             connection.skip_response()
             self.metrics.skipped.inc({"pool": state.entry.pool})
         else:
             raise AttemptFailed(
-                Reason.SPOILT_ANSWER, "only other requests' answers came", True
+                Reason.SPOILT_ANSWER, "received only answers to other requests", True
             )
-        state.note_load(said.load)
-        if said.cold_for_s:
-            state.note_cold(said.cold_for_s)
-        return await self._checked(state, head, said, connection)
+        state.note_load(metadata.load)
+        if metadata.cold_for_s:
+            state.note_cold(metadata.cold_for_s)
+        return await self._validate(state, head, metadata, connection)
 
-    async def _checked(
+    async def _validate(
         self,
         state: TargetState,
         head: ResponseHead,
-        said: TargetAnswer,
+        metadata: TargetAnswer,
         connection: ClientConnection,
     ) -> Answer:
-        if said.is_other_instance:
+        if metadata.is_other_instance:
             await _drain(connection)
             raise AttemptFailed(
-                Reason.OTHER_INSTANCE, "another instance has the address", False
+                Reason.OTHER_INSTANCE, "another instance uses this address", False
             )
-        if said.did_not_run:
+        if metadata.did_not_run:
             await _drain(connection)
             self.connections.release(state, connection, head)
-            raise AttemptFailed(Reason.TARGET_BUSY, f"it said {head.status}", False)
-        if 200 <= head.status < 300 and not _is_sound(said):
             raise AttemptFailed(
-                Reason.SPOILT_ANSWER, "the answer is not the target's own", True
+                Reason.TARGET_BUSY,
+                f"target did not run it: status {head.status}",
+                False,
+            )
+        if 200 <= head.status < 300 and not _is_authentic(metadata):
+            raise AttemptFailed(
+                Reason.SPOILT_ANSWER,
+                "the answer was altered or is not from the target",
+                True,
             )
-        if said.request_id is None and head.status < 500:
+        if metadata.request_id is None and head.status < 500:
             raise AttemptFailed(
-                Reason.SPOILT_ANSWER, "the answer names no request", True
+                Reason.SPOILT_ANSWER, "the answer has no request id", True
             )
-        return await _held(head, connection)
+        return await _buffer_body(head, connection)
 
 
-def _is_sound(said: TargetAnswer) -> bool:
-    return said.is_signed and not said.is_encoded and said.request_id is not None
+def _is_authentic(metadata: TargetAnswer) -> bool:
+    return (
+        metadata.is_signed
+        and not metadata.is_encoded
+        and metadata.request_id is not None
+    )
 
 
-async def _held(head: ResponseHead, connection: ClientConnection) -> Answer:
-    parts = []
+async def _buffer_body(head: ResponseHead, connection: ClientConnection) -> Answer:
+    buffered = []
     size = 0
-    pieces = connection.response_body()
-    async for piece in pieces:
-        parts.append(piece)
-        size += len(piece)
-        if size > HELD_ANSWER_BYTES:
-            return Answer(head, b"".join(parts), pieces)
-    return Answer(head, b"".join(parts))
+    chunks = connection.response_body()
+    async for chunk in chunks:
+        buffered.append(chunk)
+        size += len(chunk)
+        if size > MAX_BUFFERED_BYTES:
+            return Answer(head, b"".join(buffered), chunks)
+    return Answer(head, b"".join(buffered))
 
 
 async def _drain(connection: ClientConnection):
-    """Read a response to its end; its bytes are of no use."""
+    """Read a response to its end and discard it."""
     size = 0
-    async for piece in connection.response_body():
-        size += len(piece)
-        if size > HELD_ANSWER_BYTES:
-            raise ConnectionBroken(f"{connection.address}: too long an answer to skip")
+    async for chunk in connection.response_body():
+        size += len(chunk)
+        if size > MAX_BUFFERED_BYTES:
+            raise ConnectionBroken(f"{connection.address}: answer is too long to skip")
 
 
-def _broken(connection: ClientConnection, problem: str) -> AttemptFailed:
+def _connection_failure(connection: ClientConnection, problem: str) -> AttemptFailed:
     with contextlib.suppress(OSError):
         connection.stream.socket.close()
     return AttemptFailed(Reason.CONNECTION_BROKEN, problem, connection.touched)
--- a/packages/gateway/plantainshed_gateway/placement.py
+++ b/packages/gateway/plantainshed_gateway/placement.py
@@ -1,19 +1,20 @@
-"""Which target of its pool a request goes to.
-
-Load that it answers: requests for a limited number of objects, where a target
-that handled an object lately needs about a third of the time. All VMs place an
-object on the same targets, by weighted rendezvous hash, without asking each
-other; a target that leaves or joins moves only its own objects.
-
-Where regions are near each other, measured by what a route's callers wait for, an
-object has two owners in the whole fleet. Its second is used when the first is busy,
-and no third: a target remembers a limited number of objects, and copies on further
-targets push out what those remember.
-
-Where they are far, an object has one owner in each region, the region's best by the
-same hash. A request goes to the one that is expected to answer first, mostly the
-own region's; each is kept warm by its region's callers, so one that is busy hands
-over to another that knows the object.
+"""Target selection: picks the target of a pool that gets a request.
+
+Requests concern a limited number of objects, and a target that handled an object
+recently runs the next request for it in about a third of the time. Every VM places
+an object on the same targets by weighted rendezvous hashing, without coordination;
+when a target joins or leaves, only the objects that it owns move.
+
+If the regions are near each other, measured against the latency objective of the
+route, each object has two owners in the whole fleet. The second owner is used when
+the first is busy. There is no third owner: a target caches a limited number of
+objects, and copies on more targets would evict other objects from those caches.
+
+If the regions are far from each other, each object has one owner per region, which
+is the region's highest-ranked target by the same hash. A request goes to the owner
+that is expected to answer first, usually the one in the local region. The callers
+of each region keep their own owner warm, so when one owner is busy, another one
+that has the object cached can take over.
 """
 
 import random
@@ -32,43 +33,47 @@
 from .registry import Registry, TargetState
 from .round_trips import RoundTrips
 
-# Requests for each slot of an object's first target, running and waiting,
-# above which its second target is used if that one has more room.
+# Requests per slot, running and waiting, above which an object's first owner is
+# busy. The second owner is then preferred if it is below this threshold.
 SPILL_OCCUPANCY = 1.5
-# Owners of an object, not counting targets that are out or still cold.
-OWNERS = 2
-# Part of a route's objective that a round trip to another region takes, from which
-# on regions are far from each other; below the second one they are near again.
-FAR_PART = 0.12
-NEAR_PART = 0.11
-# Targets of the whole fleet that are kept in order for an object, so that owners
-# are found also when some are out.
-CONSIDERED = 6
-CACHED_ORDERS = 20_000
+# Number of owners of an object, not counting targets that are out or still cold.
+OWNERS_PER_OBJECT = 2
+# Ratio of the longest inter-region round trip to the route's latency objective.
+# Regions count as far at or above the first value, and as near again below the
+# second; the gap between the two is hysteresis.
+FAR_ROUND_TRIP_RATIO = 0.12
+NEAR_ROUND_TRIP_RATIO = 0.11
+# Number of targets of the whole fleet in an object's ranking. It is larger than the
+# number of owners, so that owners can be found when some targets are out.
+MAX_RANKED_TARGETS = 6
+MAX_CACHED_RANKINGS = 20_000
 
 
 @frozen
-class _Cached:
+class _CachedRanking:
     generation: int
-    at: int
-    order: tuple
+    ramp_second: int
+    ranking: tuple
 
 
 @define
-class _Choice:
-    """Targets to try for a request: cold ones first, for the little they bear."""
+class _Candidates:
+    """Targets to try for a request.
+
+    Cold targets come first, because they accept only a few requests each second.
+    """
 
     cold: list[TargetState] = field(factory=list)
     owners: list[TargetState] = field(factory=list)
 
 
 class Placement:
-    """Finds targets for requests.
+    """Selects targets for requests.
 
     Parameters
     ----------
     region : str
-        This VM's own.
+        Region of this VM.
     registry : Registry
     cold : ColdTargets
     queues : QueueLimits
@@ -92,7 +97,7 @@
         self.connections = connections
         self.round_trips = round_trips
         self.random = random.Random()
-        self._cache: dict[tuple, _Cached] = {}
+        self._cache: dict[tuple, _CachedRanking] = {}
         self._far_routes: set[str] = set()
 
     def choose(
@@ -102,109 +107,135 @@
         excluded: set[str],
         vms: list[str],
     ) -> TargetState | None:
-        """Return a target that may take the request now, or None.
+        """Return a target that can take the request now, or None.
 
         Parameters
         ----------
         call : Call
         configuration : Configuration
         excluded : set of str
-            Instances that it was sent to before.
+            Instances that earlier attempts of this request used.
         vms : list of str
-            Names of the VMs that take callers.
+            Names of the VMs that accept callers' requests.
         """
         pool = configuration.pools[call.pool]
-        choice = self._choice(call)
-        for state in [*choice.cold, *choice.owners]:
-            if state.entry.instance in excluded or not self.queues.fits(call, state):
+        candidates = self._candidates(call)
+        for state in [*candidates.cold, *candidates.owners]:
+            if state.entry.instance in excluded or not self.queues.can_answer_in_time(
+                call, state
+            ):
                 continue
             if self.cold.admits(state, pool, vms):
                 return state
         return None
 
-    def _choice(self, call: Call) -> _Choice:
+    def _candidates(self, call: Call) -> _Candidates:
         usable = self.registry.usable(call.pool, call.home_regions)
         if not call.route.is_sticky or call.request.affinity is None:
-            return _first_owners(self._by_load(usable), OWNERS)
+            return _select_candidates(self._sorted_by_load(usable), OWNERS_PER_OBJECT)
         if self._is_far(call.route):
-            return self._owners_of_regions(call, usable)
-        choice = _first_owners(self._by_object(call, usable), OWNERS)
-        if len(choice.owners) == OWNERS:
-            first, second = choice.owners
+            return self._regional_owners(call, usable)
+        candidates = _select_candidates(
+            self._ranked_by_object(call, usable), OWNERS_PER_OBJECT
+        )
+        if len(candidates.owners) == OWNERS_PER_OBJECT:
+            first, second = candidates.owners
             if first.occupancy > SPILL_OCCUPANCY > second.occupancy:
-                choice.owners.reverse()
-        return choice
+                candidates.owners.reverse()
+        return candidates
 
     def _is_far(self, route: Route) -> bool:
-        """Tell whether a round trip between regions takes much of a route's time."""
-        part = self.round_trips.longest_s() / max(route.objective_s, 0.001)
-        if part >= FAR_PART:
+        """Return whether inter-region round trips use up much of a route's objective.
+
+        The result has hysteresis.
+        """
+        ratio = self.round_trips.longest_s() / max(route.objective_s, 0.001)
+        if ratio >= FAR_ROUND_TRIP_RATIO:
             self._far_routes.add(route.name)
-        elif part < NEAR_PART:
+        elif ratio < NEAR_ROUND_TRIP_RATIO:
             self._far_routes.discard(route.name)
         return route.name in self._far_routes
 
-    def _owners_of_regions(self, call: Call, usable: list[TargetState]) -> _Choice:
-        """Return each region's owner, the one that should answer first in front."""
-        joined = _Choice()
-        for region, states in self._by_region(call, usable):
-            choice = _first_owners(states, 1)
-            joined.owners += choice.owners
+    def _regional_owners(self, call: Call, usable: list[TargetState]) -> _Candidates:
+        """Return each region's owner, ordered by expected response time.
+
+        Cold targets are included for the local region only.
+        """
+        candidates = _Candidates()
+        for region, states in self._ranked_by_region(call, usable):
+            in_region = _select_candidates(states, 1)
+            candidates.owners += in_region.owners
             if region == self.region:
-                joined.cold = choice.cold
-        joined.owners.sort(key=self._expected_s)
-        return joined
+                candidates.cold = in_region.cold
+        candidates.owners.sort(key=self._expected_s)
+        return candidates
 
-    def _by_region(self, call: Call, usable: list[TargetState]) -> tuple:
-        """Return the regions that own an object, each with its targets in order."""
+    def _ranked_by_region(self, call: Call, usable: list[TargetState]) -> tuple:
+        """Return the regions that own an object, each with its ranked targets."""
 
-        def make(object_key: str) -> tuple:
+        def rank(object_key: str) -> tuple:
             by_region: dict[str, list[TargetState]] = {}
-            for state in _scored(object_key, usable):
+            for state in _ranked(object_key, usable):
                 region = self.registry.region_of.get(state.entry.failure_domain, "")
                 by_region.setdefault(region, []).append(state)
             owning = _owning_regions(object_key, by_region) or by_region
             return tuple((region, by_region[region]) for region in owning)
 
-        return self._cached(call, "regions", make)
+        return self._cached_ranking(call, "regions", rank)
 
     def _expected_s(self, state: TargetState) -> float:
-        """Return the time until an answer, but for the run itself."""
+        """Return the expected response time, not counting the run itself."""
         round_trip_s = self.round_trips.seconds(state.entry.failure_domain)
         if not self.connections.has_idle(state):
             round_trip_s *= 2
         return round_trip_s + self.queues.expected_wait_s(state)
 
-    def _by_load(self, usable: list[TargetState]) -> list[TargetState]:
+    def _sorted_by_load(self, usable: list[TargetState]) -> list[TargetState]:
         shuffled = self.random.sample(usable, len(usable))
         return sorted(shuffled, key=lambda state: (state.is_cold, state.occupancy))
 
-    def _by_object(self, call: Call, usable: list[TargetState]) -> tuple:
-        """Return an object's targets in the whole fleet in order, the first few."""
-        return self._cached(
-            call, "fleet", lambda key: tuple(_scored(key, usable)[:CONSIDERED])
+    def _ranked_by_object(self, call: Call, usable: list[TargetState]) -> tuple:
+        """Return an object's highest-ranked targets in the whole fleet."""
+        return self._cached_ranking(
+            call, "fleet", lambda key: tuple(_ranked(key, usable)[:MAX_RANKED_TARGETS])
         )
 
-    def _cached(self, call: Call, kind: str, make: Callable[[str], tuple]) -> tuple:
-        """Return an object's order of one kind, made anew when targets changed."""
+    def _cached_ranking(
+        self, call: Call, kind: str, rank: Callable[[str], tuple]
+    ) -> tuple:
+        """Return an object's cached ranking, recomputed when targets have changed.
+
+        Parameters
+        ----------
+        call : Call
+        kind : str
+            Kind of ranking; part of the cache key.
+        rank : callable
+            Computes the ranking from the object's key.
+        """
         object_key = f"{call.route.name}/{call.request.affinity}"
         cache_key = (object_key, kind, call.pool, call.home_regions)
         cached = self._cache.get(cache_key)
-        # Weights of new targets grow in steps of a second; while none does, an
-        # order holds until the targets change: making one takes 0.66 ms with 128.
+        # The weights of new targets ramp up in steps of one second. When no ramp is
+        # in progress, a ranking is valid until the set of targets changes.
+        # Computing a ranking of 128 targets takes 0.66 ms.
         now = trio.current_time()
-        at = int(now) if now < self.registry.ramps_until + 1.0 else 0
+        ramp_second = int(now) if now < self.registry.ramps_until + 1.0 else 0
         generation = self.registry.generation
-        if cached and cached.generation == generation and cached.at == at:
-            return cached.order
-        order = make(object_key)
-        if len(self._cache) >= CACHED_ORDERS:
+        if (
+            cached
+            and cached.generation == generation
+            and cached.ramp_second == ramp_second
+        ):
+            return cached.ranking
+        ranking = rank(object_key)
+        if len(self._cache) >= MAX_CACHED_RANKINGS:
             self._cache.clear()
-        self._cache[cache_key] = _Cached(generation, at, order)
-        return order
+        self._cache[cache_key] = _CachedRanking(generation, ramp_second, ranking)
+        return ranking
 
 
-def _scored(object_key: str, usable: list[TargetState]) -> list[TargetState]:
+def _ranked(object_key: str, usable: list[TargetState]) -> list[TargetState]:
     return sorted(
         usable,
         key=lambda s: weighted_score(object_key, s.entry.instance, s.weight),
@@ -217,8 +248,9 @@
 ) -> list[str]:
     """Return the regions that own an object.
 
-    A region with few slots owns only as many objects as its callers' share of the
-    work fits there; it would be overloaded while others have room.
+    A region with fewer slots than the mean owns proportionally fewer objects.
+    Otherwise its callers' share of the load would exceed its capacity, and it would
+    be overloaded while other regions have free slots.
     """
     slots = {
         region: sum(state.entry.slots for state in states)
@@ -232,10 +264,14 @@
     ]
 
 
-def _first_owners(order: tuple | list, count: int) -> _Choice:
-    """Return the first sound targets, and cold ones in front of the last of them."""
-    sound = [state for state in order if not state.is_out]
-    owners = [state for state in sound if not state.is_cold][:count]
-    last = sound.index(owners[-1]) if len(owners) == count else len(sound)
-    cold = [state for state in sound[:last] if state.is_cold]
-    return _Choice(cold, owners)
+def _select_candidates(ranking: tuple | list, count: int) -> _Candidates:
+    """Return the first `count` healthy, warm targets as owners.
+
+    Healthy cold targets that rank before the last owner are returned too; if there
+    are fewer than `count` owners, all healthy cold targets are.
+    """
+    healthy = [state for state in ranking if not state.is_out]
+    owners = [state for state in healthy if not state.is_cold][:count]
+    last = healthy.index(owners[-1]) if len(owners) == count else len(healthy)
+    cold = [state for state in healthy[:last] if state.is_cold]
+    return _Candidates(cold, owners)
--- a/packages/gateway/plantainshed_gateway/poison.py
+++ b/packages/gateway/plantainshed_gateway/poison.py
@@ -1,31 +1,35 @@
-"""Requests that crash the targets that run them, stopped after few.
+"""Detection of poison requests: requests that crash the targets that run them.
 
-Load that it answers: one caller sends such a request again and again, each
-time another target dies of it and comes back cold, until a pool is empty.
+If a caller repeats such a request, every attempt crashes another target, which comes
+back cold, until the pool is empty. Requests are therefore refused after they crashed a
+few targets.
 
-A target counts as crashed when a connection broke under a request and a new
-one is refused a moment later; a lost answer alone is no crash. VMs tell each
-other in their heartbeats. A request that is answered is cleared: it only
-happened to be there when a target died of something else.
+A target counts as crashed when a connection breaks during a request and a new
+connection is refused a moment later; a lost answer alone does not count. VMs share
+crashes in their heartbeats. When a request is answered, its record is cleared, because
+it only happened to be running when a target crashed for another reason.
 """
 
 import trio
 import xxhash
 from attrs import define
 
-# Targets that died under a request before it is refused. Two can be chance,
-# when several targets crash at once and an object moves from one to the next.
-DEATHS_TO_STOP = 3
-# How long a death counts. Callers repeat within seconds, a target is back
-# after some, and a request that was stopped wrongly is free again after this.
-DEATH_COUNTS_S = 30.0
-MOST_TOLD = 16
+# Number of targets that a request has to crash before it is refused. Two can be a
+# coincidence, when several targets crash at once and an object moves from one to the
+# next.
+CRASHES_TO_BLOCK = 3
+# How long a crash counts. Callers repeat a request within seconds, and a crashed
+# target is back within seconds. A request that was blocked by mistake is accepted
+# again after this time.
+CRASH_TTL_S = 30.0
+# Maximum number of crashes in a heartbeat.
+MAX_REPORTED = 16
 
 
 def compute_fingerprint(
     workspace: str | None, method: str, target: str, body: bytes
 ) -> str:
-    """Return what recognises the same request when it is sent again."""
+    """Return a hash that identifies a request when it is repeated."""
     digest = xxhash.xxh3_64()
     for part in (workspace or "", method, target):
         digest.update(part.encode() + b"\x00")
@@ -34,50 +38,54 @@
 
 
 @define
-class _Death:
-    until: float
+class _Crash:
+    expires_at: float
 
 
 class PoisonTracker:
-    """Which targets died under which requests, here and at other VMs."""
+    """Records which requests crashed which targets, on this VM and on others."""
 
     def __init__(self):
-        self._deaths: dict[str, dict[str, _Death]] = {}
-
-    def note_crash(self, mark: str, instance: str):
-        """Note that a target died while it ran a request."""
-        until = trio.current_time() + DEATH_COUNTS_S
-        self._deaths.setdefault(mark, {}).setdefault(instance, _Death(until))
-
-    def note_answered(self, mark: str):
-        """Note that a request was answered: targets died of something else."""
-        self._deaths.pop(mark, None)
-
-    def is_blocked(self, mark: str) -> bool:
-        """Tell whether such requests are refused for now."""
-        deaths = self._deaths.get(mark)
-        if not deaths:
+        self._crashes: dict[str, dict[str, _Crash]] = {}
+
+    def note_crash(self, fingerprint: str, instance: str):
+        """Record that a target crashed while it ran a request."""
+        expires_at = trio.current_time() + CRASH_TTL_S
+        self._crashes.setdefault(fingerprint, {}).setdefault(
+            instance, _Crash(expires_at)
+        )
+
+    def note_answered(self, fingerprint: str):
+        """Clear the record of a request that was answered."""
+        self._crashes.pop(fingerprint, None)
+
+    def is_blocked(self, fingerprint: str) -> bool:
+        """Return whether a request is refused for now."""
+        crashes = self._crashes.get(fingerprint)
+        if not crashes:
             return False
         now = trio.current_time()
-        fresh = {name: death for name, death in deaths.items() if death.until > now}
-        self._deaths[mark] = fresh
-        if not fresh:
-            del self._deaths[mark]
-        return len(fresh) >= DEATHS_TO_STOP
+        recent = {
+            name: crash for name, crash in crashes.items() if crash.expires_at > now
+        }
+        self._crashes[fingerprint] = recent
+        if not recent:
+            del self._crashes[fingerprint]
+        return len(recent) >= CRASHES_TO_BLOCK
 
     def recent_crashes(self) -> tuple[tuple[str, str], ...]:
-        """Return the newest deaths, for other VMs."""
+        """Return the most recent crashes, to send to other VMs."""
         now = trio.current_time()
-        fresh = [
-            (death.until, mark, instance)
-            for mark, deaths in self._deaths.items()
-            for instance, death in deaths.items()
-            if death.until > now
+        recent = [
+            (crash.expires_at, fingerprint, instance)
+            for fingerprint, crashes in self._crashes.items()
+            for instance, crash in crashes.items()
+            if crash.expires_at > now
         ]
-        newest = sorted(fresh, reverse=True)[:MOST_TOLD]
-        return tuple((mark, instance) for _, mark, instance in newest)
+        newest = sorted(recent, reverse=True)[:MAX_REPORTED]
+        return tuple((fingerprint, instance) for _, fingerprint, instance in newest)
 
-    def merge(self, told: tuple[tuple[str, str], ...]):
-        """Take in what another VM tells."""
-        for mark, instance in told:
-            self.note_crash(mark, instance)
+    def merge(self, reported: tuple[tuple[str, str], ...]):
+        """Merge the crashes that another VM reported."""
+        for fingerprint, instance in reported:
+            self.note_crash(fingerprint, instance)
--- a/packages/gateway/plantainshed_gateway/queueing.py
+++ b/packages/gateway/plantainshed_gateway/queueing.py
@@ -1,9 +1,9 @@
-"""Whether a target's queue leaves a request enough time.
+"""Admission by expected queueing time at a target.
 
-Load that it answers: more requests than a pool can run. Every queue fills, and
-all requests are answered late or cut at their timeout, though the pool runs as
-many as ever. Refusing what would come too late, at once, keeps the others in
-time and tells the refused when to come back.
+When a pool gets more requests than it can run, every queue fills up, and all
+requests are answered late or time out, although the pool runs as many as before.
+Requests that would be answered too late are therefore refused at once. The others
+stay in time, and the refused callers are told when to retry.
 """
 
 import trio
@@ -13,11 +13,12 @@
 from .registry import TargetState
 from .round_trips import RoundTrips
 
-# Weight of a new measurement in the time that a pool's requests run.
-NEW_WEIGHT = 0.1
-# Longest wait in a target's queue, as a part of the route's objective. Above
-# one, because loads are known from answers that are up to a second old.
-WAIT_PART_OF_OBJECTIVE = 1.0
+# Weight of a new sample in the moving average of a pool's run time.
+EWMA_WEIGHT = 0.1
+# Longest accepted wait in a target's queue, as a ratio of the route's objective.
+# The limit is generous, because loads are known only from answers that can be up to
+# a second old.
+MAX_WAIT_RATIO = 1.0
 
 
 @define
@@ -25,11 +26,11 @@
     seconds: float
 
     def note(self, seconds: float):
-        self.seconds += (seconds - self.seconds) * NEW_WEIGHT
+        self.seconds += (seconds - self.seconds) * EWMA_WEIGHT
 
 
 class QueueLimits:
-    """Compares expected waits with the time that requests have.
+    """Compares expected queueing times with the time left for requests.
 
     Parameters
     ----------
@@ -41,7 +42,7 @@
         self._run_times: dict[str, _RunTime] = {}
 
     def note_answer(self, state: TargetState, seconds: float):
-        """Take in how long an attempt took, if it met no queue."""
+        """Record the duration of an attempt, if the target reports no queue."""
         if state.load is None or state.load.waiting > 0:
             return
         pool = state.entry.pool
@@ -51,16 +52,16 @@
         known.note(seconds)
 
     def expected_wait_s(self, state: TargetState) -> float:
-        """Return how long a further request would wait in a target's queue."""
+        """Return how long one more request would wait in a target's queue."""
         run_time = self._run_times.get(state.entry.pool)
         if run_time is None:
             return 0.0
         slots = max(1, state.entry.slots)
-        ahead = state.expected_load - slots + 1
-        return max(0.0, ahead) / slots * run_time.seconds
+        requests_ahead = state.expected_load - slots + 1
+        return max(0.0, requests_ahead) / slots * run_time.seconds
 
-    def fits(self, call: Call, state: TargetState) -> bool:
-        """Tell whether a request would be answered in useful time there."""
+    def can_answer_in_time(self, call: Call, state: TargetState) -> bool:
+        """Return whether a target is expected to answer a request in time."""
         wait_s = self.expected_wait_s(state)
         if wait_s <= 0:
             return True
@@ -68,4 +69,4 @@
         round_trip_s = self.round_trips.known_s(state.entry.failure_domain) or 0.0
         if wait_s + run_time_s + round_trip_s > call.deadline - trio.current_time():
             return False
-        return wait_s <= call.route.objective_s * WAIT_PART_OF_OBJECTIVE
+        return wait_s <= call.route.objective_s * MAX_WAIT_RATIO
--- a/packages/gateway/plantainshed_gateway/serving.py
+++ b/packages/gateway/plantainshed_gateway/serving.py
@@ -1,7 +1,7 @@
-"""A caller's request from its head to its answer.
+"""Request handling on this VM, from the request head to the answer.
 
-`Serving.serve` reads like the story: whose is it, which target answers it, and
-what the caller is told if none does.
+`Serving.serve` admits a request, sends it to targets until one answers, and refuses
+it if none does.
 """
 
 import contextlib
@@ -14,7 +14,7 @@
 from plantainshed_http.server import Exchange
 
 from .admission import Admission
-from .answers import pass_on, refusal_body, refusal_headers
+from .answers import refusal_body, refusal_headers, send_answer
 from .call import Call
 from .context import Context
 from .errors import AttemptFailed, BadRequest, Refusal
@@ -27,40 +27,42 @@
 from .registry import TargetState
 from .retry_budget import RetryBudgets
 
-# Attempts beyond the route's, for those that no target ran or saw.
-MORE_ATTEMPTS_NOT_RUN = 2
-# Time that must be left for another attempt to be of use.
-LEAST_SECONDS_FOR_RETRY = 0.05
-# When a refused caller may come back: a target's queue has moved on by then.
+# Attempts allowed beyond the route's limit while no target has run the request.
+EXTRA_ATTEMPTS_NOT_RUN = 2
+# Minimum time left before the deadline for a retry to be worthwhile.
+MIN_SECONDS_FOR_RETRY = 0.05
+# Retry-after for refused requests. A target's queue has advanced by then.
 NO_ROOM_RETRY_AFTER_S = 0.4
-# What a request that crashes targets is told; a caller that obeys gives up.
+# Retry-after for requests that crash targets. Callers that honour it give up.
 POISON_RETRY_AFTER_S = 5.0
-# Reading three collections again takes a few round trips.
+# Retry-after while this VM refreshes its data after a pause: reading three
+# collections again takes a few round trips.
 PAUSED_RETRY_AFTER_S = 0.3
-# Longest wait of a request for a VM that has just started: a few round trips to the
-# store. Refused at once, it would come back and find other VMs starting.
-START_WAIT_S = 0.4
-# Time after its start from which on a VM that knows nothing refuses at once: the
-# store does not answer it.
-STARTING_S = 1.2
-# Other VMs take requests now; look-ups name them.
+# Longest time that a request waits for a VM that has just started: a few round trips
+# to the store. If it were refused at once, the caller would retry and reach other
+# VMs that are starting too.
+MAX_STARTUP_WAIT_S = 0.4
+# Time after the start of this VM after which requests no longer wait for it to become
+# ready. The store is then considered unresponsive, and requests are refused at once.
+STARTUP_S = 1.2
+# Retry-after while this VM stops. Look-ups already name other VMs.
 STOPPING_RETRY_AFTER_S = 0.05
 
 
 class Serving:
-    """Serves callers' requests on this VM.
+    """Handles callers' requests on this VM.
 
     Attributes
     ----------
     in_flight : int
-        Requests that were read and not yet answered.
+        Number of requests that are being handled.
     is_ready : trio.Event
-        Set once this VM knows what it needs to serve.
+        Set once this VM has all the data that it needs to handle requests.
     is_caught_up : bool
-        False after a pause of this process, until it has caught up.
+        False after a pause of this process until its data is refreshed.
     accepts_until : float
-        When requests are no longer taken, because too little of the time to stop
-        is left for them to be run.
+        When this VM stops accepting requests, because the time left before it
+        exits is too short to run them.
     """
 
     def __init__(
@@ -91,18 +93,21 @@
         self.accepts_until = math.inf
 
     async def serve(self, exchange: Exchange):
-        """Answer one request, by a target or by a refusal."""
+        """Answer one request with a target's answer or with a refusal."""
         began_at = trio.current_time()
         self.in_flight += 1
         call = None
         try:
-            # The body can be read only once the configuration says how long it may be.
-            wait_until = min(began_at + START_WAIT_S, self.started_at + STARTING_S)
-            with trio.move_on_at(wait_until):
+            # The configuration sets the maximum body size, so wait for it before
+            # reading the body.
+            startup_deadline = min(
+                began_at + MAX_STARTUP_WAIT_S, self.started_at + STARTUP_S
+            )
+            with trio.move_on_at(startup_deadline):
                 await self.is_ready.wait()
             body = await self._read_body(exchange)
-            self._require_awake()
-            self._require_time_to_run()
+            self._require_caught_up()
+            self._require_accepting()
             call = await self.admission.admit(exchange.request, body, began_at)
             self.retries.note_request(call.pool)
             await self._run(exchange, call)
@@ -111,26 +116,26 @@
         finally:
             self.in_flight -= 1
 
-    def _require_awake(self):
-        # After a pause this VM would accept keys that were withdrawn meanwhile
-        # and send to targets that are gone.
+    def _require_caught_up(self):
+        # With the data from before the pause, this VM would accept keys that have
+        # been withdrawn since and send requests to targets that no longer exist.
         if not self.is_caught_up:
             raise Refusal(
                 HTTPStatus.SERVICE_UNAVAILABLE,
                 Reason.WAS_PAUSED,
-                "this VM was paused and is finding out what it missed",
+                "this VM was paused and is refreshing its data",
                 PAUSED_RETRY_AFTER_S,
             )
 
-    def _require_time_to_run(self):
-        # A connection that was taken in time may send the rest of a request much
-        # later. Passed on, it would be broken off at its target when the time to
-        # stop runs out, with no answer.
+    def _require_accepting(self):
+        # A connection that was accepted in time may send the rest of a request much
+        # later. If that request were forwarded, it would be aborted without an answer
+        # when this VM exits.
         if trio.current_time() > self.accepts_until:
             raise Refusal(
                 HTTPStatus.SERVICE_UNAVAILABLE,
                 Reason.STOPPING,
-                "this VM is about to end",
+                "this VM is shutting down",
                 STOPPING_RETRY_AFTER_S,
             )
 
@@ -143,7 +148,8 @@
             if problem.status != HTTPStatus.REQUEST_ENTITY_TOO_LARGE:
                 raise
             if configuration is None:
-                # Nothing is known yet, also not how long a body may be.
+                # Without a configuration, the maximum body size is unknown and the
+                # request is refused later, so its body is not needed.
                 return b""
             raise Refusal(
                 HTTPStatus.REQUEST_ENTITY_TOO_LARGE,
@@ -152,11 +158,11 @@
             ) from problem
 
     async def _run(self, exchange: Exchange, call: Call):
-        """Have a request answered in time, or raise `Refusal`."""
+        """Get a request answered in time, or raise `Refusal`."""
         with trio.move_on_at(call.cancel_at) as scope:
             if not call.route.is_idempotent:
-                # A run that was begun is let end though its caller has left:
-                # broken off, nobody could tell whether it had taken effect.
+                # The run continues even if the caller disconnects. If it were
+                # cancelled, it would be unknown whether it had taken effect.
                 async with exchange.noticing_when_caller_leaves():
                     await self._attempt_until_answered(exchange, call)
                 return
@@ -164,17 +170,19 @@
                 await self._attempt_until_answered(exchange, call)
                 return
         if scope.cancelled_caught:
-            raise self._given_up(call, Reason.TIMEOUT, "no target answered in time")
+            raise self._unanswered_refusal(
+                call, Reason.TIMEOUT, "no target answered in time"
+            )
         if caller.cancelled_caught:
             self._log(call, HTTPStatus.BAD_GATEWAY, Reason.CALLER_LEFT)
 
     async def _attempt_until_answered(self, exchange: Exchange, call: Call):
         excluded: set[str] = set()
-        call.mark = compute_fingerprint(
+        call.fingerprint = compute_fingerprint(
             call.workspace_name, call.head.method, call.head.target, call.body
         )
         while True:
-            self._refuse_poison(call)
+            self._require_not_poison(call)
             state = self._choose(call, excluded)
             excluded.add(state.entry.instance)
             call.note_chosen(state)
@@ -182,17 +190,17 @@
             if failure is None:
                 return
             if exchange.caller_has_left:
-                # Another target would run it for nobody.
+                # Nobody would receive another target's answer.
                 self._log(call, HTTPStatus.BAD_GATEWAY, Reason.CALLER_LEFT)
                 return
-            if not self._may_try_again(call, failure):
-                raise self._given_up(call, failure.reason, str(failure))
+            if not self._can_retry(call, failure):
+                raise self._unanswered_refusal(call, failure.reason, str(failure))
             self.metrics.count_retry(failure.reason, call.pool)
 
-    def _refuse_poison(self, call: Call):
-        if self.poison.is_blocked(call.mark):
-            refusal = self._given_up(
-                call, Reason.POISON, "targets died while they ran this request"
+    def _require_not_poison(self, call: Call):
+        if self.poison.is_blocked(call.fingerprint):
+            refusal = self._unanswered_refusal(
+                call, Reason.POISON, "targets crashed while they ran this request"
             )
             if refusal.retry_after_s is not None:
                 refusal.retry_after_s = POISON_RETRY_AFTER_S
@@ -202,13 +210,13 @@
         configuration = self.admission.configuration
         vms = self.members.ready_vms()
         if call.pool not in configuration.pools:
-            raise self._given_up(
-                call, Reason.NO_TARGET, f"pool {call.pool} is not configured any more"
+            raise self._unanswered_refusal(
+                call, Reason.NO_TARGET, f"pool {call.pool} is no longer configured"
             )
         state = self.placement.choose(call, configuration, excluded, vms)
         if state is None:
-            raise self._given_up(
-                call, Reason.NO_ROOM, f"no target of {call.pool} can take it in time"
+            raise self._unanswered_refusal(
+                call, Reason.NO_ROOM, f"no target of {call.pool} can answer in time"
             )
         return state
 
@@ -217,21 +225,22 @@
     ) -> AttemptFailed | None:
         began_at = trio.current_time()
         call.attempts += 1
-        ran_before = call.may_have_run
-        # Until the target says otherwise; a cancellation must not lose this.
+        may_have_run_before = call.may_have_run
+        # Assume that the request runs until the target reports otherwise. This is set
+        # before sending, so that it also holds if the attempt is cancelled.
         call.may_have_run = True
         state.in_flight += 1
         try:
-            async with self.forwarder.answer(call, state) as answer:
+            async with self.forwarder.forward(call, state) as answer:
                 took_s = trio.current_time() - began_at
-                if self._is_worth_another(call, answer):
+                if self._should_try_another(call, answer):
                     raise AttemptFailed(
                         Reason.TARGET_ERROR, f"status {answer.head.status}", True
                     )
-                await pass_on(exchange, answer)
+                await send_answer(exchange, answer)
         except AttemptFailed as failure:
-            call.may_have_run = ran_before or failure.may_have_run
-            self._learn_from(call, state, failure)
+            call.may_have_run = may_have_run_before or failure.may_have_run
+            self._record_failure(call, state, failure)
             if failure.reason is Reason.CONNECTION_BROKEN and failure.may_have_run:
                 await self._check_crashed(call, state)
             return failure
@@ -241,14 +250,14 @@
             state.note_failure()
         else:
             state.note_success()
-        self.poison.note_answered(call.mark)
+        self.poison.note_answered(call.fingerprint)
         self.queues.note_answer(state, took_s)
         self.metrics.attempt_latency.observe({"pool": call.pool}, took_s)
         self._log(call, answer.head.status, None, attempt_s=round(took_s, 4))
         return None
 
-    def _is_worth_another(self, call: Call, answer: Answer) -> bool:
-        """Tell whether another target may do better than a failed one."""
+    def _should_try_another(self, call: Call, answer: Answer) -> bool:
+        """Return whether to retry a server error on another target."""
         return (
             answer.head.status >= HTTPStatus.INTERNAL_SERVER_ERROR
             and call.route.is_idempotent
@@ -256,7 +265,7 @@
             and call.seconds_left > call.route.objective_s / 2
         )
 
-    def _learn_from(self, call: Call, state: TargetState, failure: AttemptFailed):
+    def _record_failure(self, call: Call, state: TargetState, failure: AttemptFailed):
         if failure.reason in (Reason.CONNECT_FAILED, Reason.OTHER_INSTANCE):
             state.note_unreachable()
         elif failure.reason is not Reason.TARGET_BUSY:
@@ -273,37 +282,45 @@
         )
 
     async def _check_crashed(self, call: Call, state: TargetState):
-        """Find out whether the target died, or only the answer was lost."""
+        """Check whether the target crashed or only its answer was lost.
+
+        The target counts as crashed if it refuses a new connection.
+        """
         try:
             connection = await self.forwarder.connections.open(state)
         except ConnectFailed:
             state.note_unreachable()
-            self.poison.note_crash(call.mark, state.entry.instance)
+            self.poison.note_crash(call.fingerprint, state.entry.instance)
             self.log.event(
-                "target died under request",
+                "target crashed during request",
                 request_id=call.request.request_id,
                 target=state.entry.instance,
-                mark=call.mark,
+                mark=call.fingerprint,
             )
         else:
             await connection.aclose()
 
-    def _may_try_again(self, call: Call, failure: AttemptFailed) -> bool:
-        most = call.route.attempts
+    def _can_retry(self, call: Call, failure: AttemptFailed) -> bool:
+        max_attempts = call.route.attempts
         if not call.may_have_run:
-            most += MORE_ATTEMPTS_NOT_RUN
+            max_attempts += EXTRA_ATTEMPTS_NOT_RUN
         elif not call.route.is_idempotent:
-            # It may have run. A second run could book a second chair.
+            # The request may have run, and a second run could take effect twice, for
+            # example by booking a second seat.
             return False
-        if call.attempts >= most or call.seconds_left < LEAST_SECONDS_FOR_RETRY:
+        if call.attempts >= max_attempts or call.seconds_left < MIN_SECONDS_FOR_RETRY:
             return False
         return self.retries.try_spend(call.pool, self.members.count)
 
-    def _given_up(self, call: Call, reason: Reason, message: str) -> Refusal:
-        """Return what a caller is told whose request no target answered."""
+    def _unanswered_refusal(self, call: Call, reason: Reason, message: str) -> Refusal:
+        """Return the refusal of a request that no target answered.
+
+        If the request did not run, its quota token is returned, and the caller is
+        told when to retry.
+        """
         if not call.may_have_run:
             if call.workspace is not None:
-                self.admission.quotas.give_back(call.workspace, call.taken_at)
+                self.admission.quotas.give_back(call.workspace, call.quota_taken_at)
             return Refusal(
                 HTTPStatus.SERVICE_UNAVAILABLE, reason, message, NO_ROOM_RETRY_AFTER_S
             )
@@ -312,8 +329,6 @@
             status = HTTPStatus.GATEWAY_TIMEOUT
         return Refusal(status, reason, message)
 
-    # Answers.
-
     async def _refuse(
         self,
         exchange: Exchange,
@@ -351,7 +366,7 @@
         configuration = self.admission.configuration
         return configuration.version if configuration else 0
 
-    def _log(self, call: Call, status: int, reason: Reason | None, **more):
+    def _log(self, call: Call, status: int, reason: Reason | None, **fields):
         took_s = trio.current_time() - call.began_at
         if reason is None:
             self.metrics.count_answer(call.route.name, status, took_s)
@@ -369,7 +384,7 @@
             load_age_s=call.load_age_s,
             configuration=self._version,
             took_s=round(took_s, 4),
-            **more,
+            **fields,
         )
 
 
--- a/tests/gateway/test_connections.py
+++ b/tests/gateway/test_connections.py
@@ -18,7 +18,7 @@
 from tests.support import on_mock_clock
 
 CONNECT_S = 0.11
-TOLD_TEN_SECONDS = ResponseHead(200, [(b"keep-alive", b"timeout=10")])
+TEN_SECONDS_KEEP_ALIVE = ResponseHead(200, [(b"keep-alive", b"timeout=10")])
 
 
 class FakeSocket:
@@ -58,24 +58,24 @@
         return FakeConnection()
 
     async def exchange(self, state, is_idempotent=False, takes_s=0.2) -> bool:
-        """Run one exchange; tell whether it had to wait for a connection."""
+        """Run one exchange; return whether it had to wait for a connection."""
         began_at = trio.current_time()
         connection = await self.connections.acquire(state, is_idempotent)
         waited = trio.current_time() > began_at
         await trio.sleep(takes_s)
-        self.connections.release(state, connection, TOLD_TEN_SECONDS)
+        self.connections.release(state, connection, TEN_SECONDS_KEEP_ALIVE)
         return waited
 
 
-class TestRestOfConnections(unittest.TestCase):
-    """Requests that must run at most once, some seconds apart.
+class TestConnectionReuse(unittest.TestCase):
+    """Reuse of connections by non-idempotent requests, some seconds apart.
 
-    Each opened a connection of its own, a round trip more, since one that had
-    rested for a second might be closed as the request is sent.
+    Each request opened a new connection, which costs one more round trip, because a
+    connection that was idle for a second might be closed as the request is sent.
     """
 
     @on_mock_clock
-    async def test_connection_is_used_again_within_what_the_target_allows(self):
+    async def test_connection_is_reused_within_the_idle_timeout(self):
         targets = Targets(1)
         await targets.exchange(targets.states[0])
         for _ in range(5):
@@ -85,11 +85,11 @@
         self.assertTrue(await targets.exchange(targets.states[0]))
 
     @on_mock_clock
-    async def test_targets_that_forget_connections_are_believed_to(self):
+    async def test_early_break_shortens_reuse_for_a_while(self):
         targets = Targets(1)
         state, connections = targets.states[0], targets.connections
         await targets.exchange(state)
-        connections.note_broken(state, rested_s=0.4, after_s=0.1)
+        connections.note_broken(state, idle_s=0.4, after_s=0.1)
         await trio.sleep(0.3)
         self.assertTrue(await targets.exchange(state))
         await trio.sleep(0.1)
@@ -100,17 +100,17 @@
         self.assertFalse(await targets.exchange(state))
 
     @on_mock_clock
-    async def test_break_in_the_middle_of_a_run_says_nothing_of_rest(self):
+    async def test_break_during_a_run_does_not_shorten_reuse(self):
         targets = Targets(1)
         state, connections = targets.states[0], targets.connections
         await targets.exchange(state)
-        connections.note_broken(state, rested_s=0.4, after_s=0.6)
+        connections.note_broken(state, idle_s=0.4, after_s=0.6)
         await trio.sleep(3)
         self.assertFalse(await targets.exchange(state))
 
 
 class TestSurvey(unittest.TestCase):
-    async def play_five_seconds(self, targets: Targets):
+    async def run_five_seconds(self, targets: Targets):
         log = DecisionLog("vm-0", "mil-a", io.StringIO())
         survey = Survey(targets.registry, targets.connections, targets.round_trips, log)
         async with trio.open_nursery() as nursery:
@@ -120,15 +120,15 @@
 
     @on_mock_clock
     async def test_each_domain_is_measured_once_before_any_request(self):
-        """Guards against first requests placed by an unknown distance."""
+        """Guards against placing the first requests with an unknown round trip."""
         targets = Targets(5)
-        await self.play_five_seconds(targets)
+        await self.run_five_seconds(targets)
         self.assertEqual(targets.opened, 1)
         self.assertAlmostEqual(targets.round_trips.known_s("mil-a"), CONNECT_S)
 
     @on_mock_clock
-    async def test_domain_that_does_not_answer_is_tried_again(self):
-        """Guards against a distance that stays unknown after one lost packet."""
+    async def test_unresponsive_domain_is_measured_again(self):
+        """Guards against a round trip that stays unknown after one lost packet."""
         targets = Targets(1)
 
         async def refuse(address, timeout_s):
@@ -136,5 +136,5 @@
             raise ConnectFailed("no answer")
 
         targets.connections.connect = refuse
-        await self.play_five_seconds(targets)
+        await self.run_five_seconds(targets)
         self.assertEqual(targets.opened, 5)
