--- a/tests/gateway/gateway_support.py
+++ b/tests/gateway/gateway_support.py
@@ -1,4 +1,4 @@
-"""Small builders for tests of the gateway's parts."""
+"""Factories with default values for tests of the gateway's components."""
 
 import io
 
@@ -37,7 +37,7 @@
 
 
 class RecordingLog:
-    """Keeps the events that a log would write."""
+    """A log that records events instead of writing them."""
 
     def __init__(self):
         self.events = []
@@ -46,7 +46,7 @@
         self.events.append((event, fields))
 
 
-def make_route(name="read", pools=(("calendario", 1.0),), **more) -> Route:
+def make_route(name="read", pools=(("calendario", 1.0),), **overrides) -> Route:
     return Route(
         **{
             "name": name,
@@ -58,7 +58,7 @@
             "objective_s": 0.3,
             "attempts": 2,
             "is_sticky": True,
-            **more,
+            **overrides,
         }
     )
 
@@ -80,7 +80,7 @@
     )
 
 
-def make_entry(instance: str, **more) -> TargetEntry:
+def make_entry(instance: str, **overrides) -> TargetEntry:
     return TargetEntry(
         **{
             "instance": instance,
@@ -91,12 +91,12 @@
             "is_leaving": False,
             "cold_for_s": 0.0,
             "started_ms": 1,
-            **more,
+            **overrides,
         }
     )
 
 
-def make_heartbeat(vm: str, number=1, **more) -> Heartbeat:
+def make_heartbeat(vm: str, number=1, **overrides) -> Heartbeat:
     return Heartbeat(
         **{
             "vm": vm,
@@ -107,7 +107,7 @@
             "state": VmState.READY,
             "callers": f"{vm}:1",
             "control": f"{vm}:2",
-            **more,
+            **overrides,
         }
     )
 
--- a/tests/gateway/test_placement.py
+++ b/tests/gateway/test_placement.py
@@ -27,11 +27,11 @@
 VMS = ["vm-0"]
 
 
-def make_registry(count=10, **more) -> Registry:
+def make_registry(count=10, **overrides) -> Registry:
     registry = Registry(REGION_OF)
     registry.take_configuration(CONFIGURATION)
     entries = [
-        make_entry(f"i-{n}", failure_domain="mil-a" if n % 2 else "ven-a", **more)
+        make_entry(f"i-{n}", failure_domain="mil-a" if n % 2 else "ven-a", **overrides)
         for n in range(count)
     ]
     registry.take_entries(entries, may_have_lapsed=False)
@@ -52,7 +52,7 @@
     )
 
 
-def owners(registry: Registry, objects=200) -> dict[str, str]:
+def find_owners(registry: Registry, objects=200) -> dict[str, str]:
     placement = make_placement(registry)
     return {
         str(n): placement.choose(
@@ -66,47 +66,47 @@
     return [state.entry for state in registry.states.values()]
 
 
-class TestWhereObjectsGo(unittest.TestCase):
+class TestObjectPlacement(unittest.TestCase):
     @on_mock_clock
-    async def test_all_vms_place_an_object_alike(self):
-        self.assertEqual(owners(make_registry()), owners(make_registry()))
+    async def test_all_vms_place_an_object_on_the_same_target(self):
+        self.assertEqual(find_owners(make_registry()), find_owners(make_registry()))
 
     @on_mock_clock
     async def test_leaving_target_moves_only_its_own_objects(self):
         registry = make_registry()
-        before = owners(registry)
-        rest = [e for e in entries_of(registry) if e.instance != "i-3"]
-        registry.take_entries(rest, may_have_lapsed=False)
-        after = owners(registry)
+        before = find_owners(registry)
+        remaining = [e for e in entries_of(registry) if e.instance != "i-3"]
+        registry.take_entries(remaining, may_have_lapsed=False)
+        after = find_owners(registry)
         moved = {name for name in before if before[name] != after[name]}
         self.assertEqual(moved, {n for n in before if before[n] == "i-3"})
 
     @on_mock_clock
-    async def test_new_targets_take_over_slowly(self):
-        """Targets join, all in one region.
+    async def test_new_targets_get_objects_gradually(self):
+        """Several targets join in one region at the same time.
 
-        Taking their whole share at once moves a quarter of the requests to
-        another region within two seconds, and meets cold targets.
+        If they got their full share at once, a quarter of the requests would move to
+        another region within two seconds and reach cold targets.
         """
         registry = make_registry()
-        known = {n: owners(registry)[n] for n in owners(registry)}
-        joined = [make_entry(f"j-{n}", failure_domain="ven-a") for n in range(4)]
-        registry.take_entries(entries_of(registry) + joined, may_have_lapsed=False)
+        previous = {n: find_owners(registry)[n] for n in find_owners(registry)}
+        new_entries = [make_entry(f"j-{n}", failure_domain="ven-a") for n in range(4)]
+        registry.take_entries(entries_of(registry) + new_entries, may_have_lapsed=False)
         moved_by_step = []
         for _ in range(7):
             await trio.sleep(2)
             for state in registry.states.values():
                 state.cold_until = 0.0
-            now = owners(registry)
-            moved = sum(now[name] != known[name] for name in now)
+            now = find_owners(registry)
+            moved = sum(now[name] != previous[name] for name in now)
             moved_by_step.append(moved / len(now))
-            known = now
+            previous = now
         self.assertLess(max(moved_by_step), 0.15)
-        on_new = sum(name.startswith("j-") for name in known.values())
-        self.assertGreater(on_new / len(known), 0.2)
+        on_new = sum(name.startswith("j-") for name in previous.values())
+        self.assertGreater(on_new / len(previous), 0.2)
 
     @on_mock_clock
-    async def test_homes_bind(self):
+    async def test_home_regions_are_enforced(self):
         registry = make_registry()
         route = make_route(home_regions=frozenset({"veneto"}))
         placement = make_placement(registry)
@@ -118,20 +118,20 @@
 
 
 class TestWarmCopies(unittest.TestCase):
-    """Plays requests against targets where a warm object takes a third.
+    """Measures the share of requests that reach a target with a warm copy.
 
-    Compares placing by object with random choice and least load: the share
-    of requests that meet a warm copy, with 16 copies kept by each target.
+    Compares placement by object with random choice and round robin. Each target
+    caches 16 copies; a run with a warm copy takes a third of the time.
     """
 
-    def share_warm(self, choose) -> float:
-        kept = collections.defaultdict(collections.OrderedDict)
+    def warm_share(self, choose) -> float:
+        cached = collections.defaultdict(collections.OrderedDict)
         rng = random.Random(3)
         warm = 0
         for _ in range(4000):
             name = str(rng.randrange(120))
             instance = choose(name, rng)
-            copies = kept[instance]
+            copies = cached[instance]
             warm += name in copies
             copies[name] = True
             copies.move_to_end(name)
@@ -143,23 +143,23 @@
     async def test_by_object_beats_random_and_round_robin(self):
         registry = make_registry(10)
         placement = make_placement(registry)
-        turn = iter(range(10**6))
+        counter = iter(range(10**6))
 
         def by_object(name, rng):
             call = make_call(ROUTE, name)
             return placement.choose(call, CONFIGURATION, set(), VMS).entry.instance
 
-        by_object_share = self.share_warm(by_object)
-        random_share = self.share_warm(lambda name, rng: f"i-{rng.randrange(10)}")
-        round_robin_share = self.share_warm(lambda name, rng: f"i-{next(turn) % 10}")
+        by_object_share = self.warm_share(by_object)
+        random_share = self.warm_share(lambda name, rng: f"i-{rng.randrange(10)}")
+        round_robin_share = self.warm_share(lambda name, rng: f"i-{next(counter) % 10}")
         self.assertGreater(by_object_share, 0.85)
         self.assertLess(random_share, 0.2)
         self.assertLess(round_robin_share, 0.2)
 
 
-class TestTrouble(unittest.TestCase):
+class TestFailuresAndOverload(unittest.TestCase):
     @on_mock_clock
-    async def test_busy_target_spills_to_the_objects_second(self):
+    async def test_busy_first_owner_spills_to_second_owner(self):
         registry = make_registry()
         placement = make_placement(registry)
         call = make_call(ROUTE)
@@ -171,11 +171,11 @@
         self.assertIs(placement.choose(call, CONFIGURATION, set(), VMS), second)
 
     @on_mock_clock
-    async def test_no_third_owner_however_busy(self):
-        """A pool is overloaded for a moment.
+    async def test_overload_never_uses_a_third_owner(self):
+        """Guards against cache thrashing after a short overload of a pool.
 
-        Requests spilled to third and fourth targets, whose limited memory then
-        held too many objects; times stayed three times as long for 30 s after.
+        Requests spilled to third and fourth targets, whose limited caches then had
+        to hold too many objects. Response times stayed three times as long for 30 s.
         """
         registry = make_registry()
         placement = make_placement(registry)
@@ -191,9 +191,10 @@
 
     @on_mock_clock
     async def test_request_that_would_wait_too_long_is_refused_at_once(self):
-        """More requests than a pool can run.
+        """A pool gets more requests than it can run.
 
-        Each would wait in a full queue and be answered late, or not at all.
+        Without the limit, each request waits in a full queue and is answered late or
+        not at all.
         """
         registry = make_registry(2)
         placement = make_placement(registry)
@@ -216,27 +217,27 @@
         self.assertEqual(len(registry.usable("calendario", frozenset())), 10)
 
     @on_mock_clock
-    async def test_entries_that_lapsed_together_still_name_targets(self):
-        """The store was down; targets' entries ran out meanwhile.
+    async def test_targets_whose_entries_lapsed_together_stay_usable(self):
+        """Targets' entries expire while the store is down.
 
-        All targets seem gone in one instant though they live. Entries come
-        back within two seconds; callers were refused for as long.
+        All targets then seem to disappear at once although they still run. Their
+        entries return within two seconds; callers were refused until then.
         """
         registry = make_registry()
-        rest = entries_of(registry)[:2]
-        registry.take_entries(rest, may_have_lapsed=False)
+        remaining = entries_of(registry)[:2]
+        registry.take_entries(remaining, may_have_lapsed=False)
         self.assertEqual(len(registry.usable("calendario", frozenset())), 10)
         await trio.sleep(1.9)
         registry.drop_lapsed()
         self.assertEqual(len(registry.usable("calendario", frozenset())), 2)
 
     @on_mock_clock
-    async def test_lapsed_target_gets_nothing_from_the_end_of_its_time_on(self):
-        """A target that had left was sent requests until the next upkeep."""
+    async def test_lapsed_target_gets_no_requests_after_its_grace_period(self):
+        """Guards against requests to a departed target until the next upkeep step."""
         registry = make_registry()
         placement = make_placement(registry)
-        rest = entries_of(registry)[1:]
-        registry.take_entries(rest, may_have_lapsed=True)
+        remaining = entries_of(registry)[1:]
+        registry.take_entries(remaining, may_have_lapsed=True)
         calls = [make_call(ROUTE, str(n)) for n in range(200)]
         await trio.sleep(LAPSE_GRACE_S)
         self.assertEqual(len(registry.usable("calendario", frozenset())), 9)
@@ -247,21 +248,21 @@
         self.assertNotIn("i-0", chosen)
 
     @on_mock_clock
-    async def test_single_entry_that_goes_is_gone(self):
+    async def test_single_removed_entry_takes_effect_at_once(self):
         registry = make_registry()
-        rest = entries_of(registry)[1:]
-        registry.take_entries(rest, may_have_lapsed=False)
+        remaining = entries_of(registry)[1:]
+        registry.take_entries(remaining, may_have_lapsed=False)
         self.assertEqual(len(registry.usable("calendario", frozenset())), 9)
 
     @on_mock_clock
-    async def test_target_that_started_again_is_cold(self):
+    async def test_restarted_target_is_cold(self):
         registry = make_registry()
         entries = [make_entry("i-0", started_ms=2), *entries_of(registry)[1:]]
         registry.take_entries(entries, may_have_lapsed=False)
         self.assertTrue(registry.states["i-0"].is_cold)
 
     @on_mock_clock
-    async def test_domain_that_is_taken_back_is_cold(self):
+    async def test_domain_is_cold_after_its_evacuation_ends(self):
         registry = make_registry()
         registry.take_evacuated(frozenset({"mil-a"}))
         self.assertEqual(len(registry.usable("calendario", frozenset())), 5)
@@ -274,10 +275,10 @@
 class TestSplitter(unittest.TestCase):
     @on_mock_clock
     async def test_shares_meet_the_weights_with_few_objects(self):
-        """A route sends half of its requests to each of two pools.
+        """A route splits its requests between two pools by weight.
 
-        With 40 objects, each going to one pool, shares by hash alone were off
-        by up to a fifth.
+        With 40 objects, each on one pool, the shares by hash alone were off by up to
+        a fifth.
         """
         for weights in ((50, 50), (90, 10), (30, 70)):
             route = make_route(pools=(("a", weights[0]), ("b", weights[1])))
