--- a/packages/gateway/plantainshed_gateway/admission.py
+++ b/packages/gateway/plantainshed_gateway/admission.py
@@ -23,7 +23,7 @@
 # of the requests of a day with restarts were cancelled just before they finished, and
 # their objects stayed cold. Callers still get an answer within a quarter of a second
 # after the timeout.
-GRACE_S = 0.18
+TIMEOUT_GRACE_S = 0.18
 
 
 class Admission:
@@ -65,7 +65,8 @@
             workspace=workspace,
             body=body,
             deadline=began_at + min(caller_timeout_s, route.timeout_s),
-            cancel_at=began_at + min(caller_timeout_s, route.timeout_s + GRACE_S),
+            cancel_at=began_at
+            + min(caller_timeout_s, route.timeout_s + TIMEOUT_GRACE_S),
             pool=self.splitter.choose(route, object_key),
             began_at=began_at,
         )
--- a/packages/gateway/plantainshed_gateway/connections.py
+++ b/packages/gateway/plantainshed_gateway/connections.py
@@ -96,7 +96,7 @@
             if idle_s < max_idle_s and not kept.connection.stale:
                 kept.connection.rested_s = idle_s
                 return kept.connection
-            _close_now(kept.connection)
+            _close_socket(kept.connection)
         return None
 
     def release(
@@ -116,7 +116,7 @@
             or connection.stale
             or len(idle) >= MAX_IDLE_PER_TARGET
         ):
-            _close_now(connection)
+            _close_socket(connection)
             return
         timeout_s = self._advertised_s.get(state.entry.pool, DEFAULT_IDLE_TIMEOUT_S)
         idle.append(_IdleConnection(connection, trio.current_time(), timeout_s))
@@ -184,7 +184,7 @@
             ]
             for entry in idle:
                 if entry not in kept:
-                    _close_now(entry.connection)
+                    _close_socket(entry.connection)
             self._idle[instance] = kept
             if not kept:
                 del self._idle[instance]
@@ -199,6 +199,6 @@
     return None
 
 
-def _close_now(connection: ClientConnection):
+def _close_socket(connection: ClientConnection):
     with contextlib.suppress(OSError):
         connection.stream.socket.close()
--- a/packages/gateway/plantainshed_gateway/serving.py
+++ b/packages/gateway/plantainshed_gateway/serving.py
@@ -352,7 +352,7 @@
             load=call.load if call else None,
             load_age_s=call.load_age_s if call else None,
             may_have_run=call.may_have_run if call else False,
-            configuration=self._version,
+            configuration=self._configuration_version,
             took_s=round(trio.current_time() - began_at, 4),
         )
         if exchange.started:
@@ -362,7 +362,7 @@
         )
 
     @property
-    def _version(self) -> int:
+    def _configuration_version(self) -> int:
         configuration = self.admission.configuration
         return configuration.version if configuration else 0
 
@@ -382,7 +382,7 @@
             tried=call.tried,
             load=call.load,
             load_age_s=call.load_age_s,
-            configuration=self._version,
+            configuration=self._configuration_version,
             took_s=round(took_s, 4),
             **fields,
         )
--- a/packages/gateway/plantainshed_gateway/splitting.py
+++ b/packages/gateway/plantainshed_gateway/splitting.py
@@ -30,7 +30,7 @@
             self.averages[name] *= decay
         self.averages[pool] = self.averages.get(pool, 0.0) + 1.0 - decay
 
-    def of(self, pool: str, weight: float) -> float:
+    def current(self, pool: str, weight: float) -> float:
         total = sum(self.averages.values())
         # Until enough requests were sent, the weight fills in the missing part.
         return self.averages.get(pool, 0.0) + (1.0 - total) * weight
@@ -51,7 +51,7 @@
         parts = []
         for part in route.pools:
             weight = part.weight / total
-            deficit = weight - shares.of(part.pool, weight)
+            deficit = weight - shares.current(part.pool, weight)
             parts.append((part.pool, max(0.0, weight + CORRECTION_GAIN * deficit)))
         pool = _pick_by_weight(parts, unit_hash(route.name, object_key, "split"))
         shares.note(pool)
