--- a/packages/gateway/plantainshed_gateway/gateway.py
+++ b/packages/gateway/plantainshed_gateway/gateway.py
@@ -19,11 +19,11 @@
 from .loans import Loans
 from .lookup import LookupTable
 from .members import Members
-from .pauses import PauseWatch
+from .pauses import PauseDetector
 from .peer_messages import PeerMessages
 from .peers import Peers
 from .placement import Placement
-from .poison import PoisonBook
+from .poison import PoisonTracker
 from .ports import Collection, Item
 from .queueing import QueueLimits
 from .quota import Quotas
@@ -68,7 +68,7 @@
         self.limits = ConnectionLimits()
         self.heartbeat_number = 0
         self.followers: dict[Collection, Follower] = {}
-        self.poison = PoisonBook()
+        self.poison = PoisonTracker()
         self.members = Members(self._own_heartbeat({}, {}))
         self.speakers = Speakers(self.members)
         self.registry = Registry(settings.region_of)
@@ -225,7 +225,7 @@
             control=settings.listen.control,
             newest=newest,
             use=use,
-            deaths=self.poison.to_tell(),
+            deaths=self.poison.recent_crashes(),
         )
 
     def _make_heartbeat(self) -> Heartbeat:
@@ -284,7 +284,7 @@
         self.log.event("registered", ip=settings.ip)
 
     async def _upkeep(self):
-        pauses = PauseWatch()
+        pauses = PauseDetector()
         while True:
             await trio.sleep(UPKEEP_S)
             paused_s = pauses.check(UPKEEP_S)
@@ -311,14 +311,14 @@
     async def _catch_up_after(self, paused_s: float):
         """Learn what changed while this process stood still."""
         self.log.event("was paused", seconds=round(paused_s, 3))
-        self.serving.is_awake = False
+        self.serving.is_caught_up = False
         self.state_taker.note_pause()
         for follower in self.followers.values():
             follower.list_again()
         with trio.move_on_after(CATCH_UP_S):
             while not all(replica.is_confirmed for replica in self.replicas.values()):
                 await trio.sleep(CATCH_UP_STEP_S)
-        self.serving.is_awake = True
+        self.serving.is_caught_up = True
         self.log.event(
             "caught up",
             confirmed=[n for n, copy in self.replicas.items() if copy.is_confirmed],
--- a/packages/gateway/plantainshed_gateway/peer_messages.py
+++ b/packages/gateway/plantainshed_gateway/peer_messages.py
@@ -14,7 +14,7 @@
 from .logs import DecisionLog
 from .members import Members
 from .peers import Peers, fetch_state
-from .poison import PoisonBook
+from .poison import PoisonTracker
 from .ports import Collection
 from .replication import Follower
 from .speakers import Speakers
@@ -34,7 +34,7 @@
     members : Members
     speakers : Speakers
     loans : Loans
-    poison : PoisonBook
+    poison : PoisonTracker
     followers : dict of Collection to Follower
     log : DecisionLog
 
@@ -50,7 +50,7 @@
         members: Members,
         speakers: Speakers,
         loans: Loans,
-        poison: PoisonBook,
+        poison: PoisonTracker,
         followers: dict[Collection, Follower],
         log: DecisionLog,
     ):
@@ -162,12 +162,12 @@
     def _take_news(self, news: DomainNews) -> bool:
         if not self.members.take_news(news):
             return False
-        self.poison.take(news.deaths)
+        self.poison.merge(news.deaths)
         self._follow(news.newest, news.control, is_near=False)
         return True
 
     def _on_heartbeat(self, heartbeat: Heartbeat):
-        self.poison.take(heartbeat.deaths)
+        self.poison.merge(heartbeat.deaths)
         self._follow(heartbeat.newest, heartbeat.control, is_near=True)
 
     def _follow(self, newest_of: dict[str, int], control: str, is_near: bool):
--- a/packages/measure/plantainshed_measure/placing_model.py
+++ b/packages/measure/plantainshed_measure/placing_model.py
@@ -221,14 +221,14 @@
         target = self.fleet.targets[state.entry.address]
         one_way_s = self.fleet.round_trip_s(self.region, target.region) / 2
         state.in_flight += 1
-        connection = await self.connections.take(state, is_idempotent=False)
+        connection = await self.connections.acquire(state, is_idempotent=False)
         await trio.sleep(one_way_s)
         is_first = await target.run(name)
         load = target.load
         await trio.sleep(one_way_s)
         state.note_load(load)
         state.in_flight -= 1
-        self.connections.give_back(state, connection, KEPT_OPEN)
+        self.connections.release(state, connection, KEPT_OPEN)
         self.queues.note_answer(state, trio.current_time() - began_at)
         tally.first_runs += is_first
         tally.crossed += target.region != self.region
@@ -301,8 +301,8 @@
             route=self.route,
             workspace=None,
             body=b"",
-            answer_by=now + self.world.timeout_s,
-            wait_until=now + self.world.timeout_s,
+            deadline=now + self.world.timeout_s,
+            cancel_at=now + self.world.timeout_s,
             pool=POOL,
             began_at=now,
         )
--- a/tests/gateway/test_limits.py
+++ b/tests/gateway/test_limits.py
@@ -3,7 +3,7 @@
 import trio
 
 from plantainshed_gateway.cold import ColdTargets
-from plantainshed_gateway.poison import PoisonBook, fingerprint
+from plantainshed_gateway.poison import PoisonTracker, compute_fingerprint
 from plantainshed_gateway.registry import TargetState
 from plantainshed_gateway.retry_budget import RetryBudgets
 from tests.gateway.gateway_support import BOUNDS, POOL, make_entry
@@ -77,7 +77,7 @@
 
 class TestPoison(unittest.TestCase):
     def mark(self, body=b"x"):
-        return fingerprint("comune", "POST", "/book/1", body)
+        return compute_fingerprint("comune", "POST", "/book/1", body)
 
     @on_mock_clock
     async def test_stopped_after_three_targets_died(self):
@@ -85,30 +85,30 @@
 
         Each repeat costs another target, wherever it arrives.
         """
-        here, there = PoisonBook(), PoisonBook()
-        here.note_death(self.mark(), "i-1")
-        here.note_death(self.mark(), "i-2")
-        self.assertFalse(here.is_stopped(self.mark()))
-        there.note_death(self.mark(), "i-3")
-        here.take(there.to_tell())
-        there.take(here.to_tell())
-        self.assertTrue(here.is_stopped(self.mark()))
-        self.assertTrue(there.is_stopped(self.mark()))
-        self.assertFalse(here.is_stopped(self.mark(b"another seat")))
+        here, there = PoisonTracker(), PoisonTracker()
+        here.note_crash(self.mark(), "i-1")
+        here.note_crash(self.mark(), "i-2")
+        self.assertFalse(here.is_blocked(self.mark()))
+        there.note_crash(self.mark(), "i-3")
+        here.merge(there.recent_crashes())
+        there.merge(here.recent_crashes())
+        self.assertTrue(here.is_blocked(self.mark()))
+        self.assertTrue(there.is_blocked(self.mark()))
+        self.assertFalse(here.is_blocked(self.mark(b"another seat")))
 
     @on_mock_clock
     async def test_answered_request_is_cleared(self):
-        book = PoisonBook()
+        book = PoisonTracker()
         for instance in ("i-1", "i-2", "i-3"):
-            book.note_death(self.mark(), instance)
+            book.note_crash(self.mark(), instance)
         book.note_answered(self.mark())
-        self.assertFalse(book.is_stopped(self.mark()))
+        self.assertFalse(book.is_blocked(self.mark()))
 
     @on_mock_clock
     async def test_free_again_after_a_while(self):
-        book = PoisonBook()
+        book = PoisonTracker()
         for instance in ("i-1", "i-2", "i-3"):
-            book.note_death(self.mark(), instance)
+            book.note_crash(self.mark(), instance)
         await trio.sleep(31)
-        self.assertFalse(book.is_stopped(self.mark()))
-        self.assertEqual(book.to_tell(), ())
+        self.assertFalse(book.is_blocked(self.mark()))
+        self.assertEqual(book.recent_crashes(), ())
