--- a/packages/coordination/plantainshed_coordination/budgets.py
+++ b/packages/coordination/plantainshed_coordination/budgets.py
@@ -23,9 +23,9 @@
 LOAN_USABLE_S = 0.12
 LOAN_HELD_S = 0.13
 LOAN_TIMEOUT_S = 0.12
-DEMAND_MEMORY_S = 3.0
+DEMAND_WINDOW_S = 3.0
 WHOLE_TOKEN = 1.0
-ROUNDING = 1e-9
+ROUNDING_TOLERANCE = 1e-9
 
 
 class BudgetKind(StrEnum):
@@ -74,13 +74,13 @@
     def add(self, amount: float):
         """Count something that was asked for."""
         self.read()
-        self.per_second += amount / DEMAND_MEMORY_S
+        self.per_second += amount / DEMAND_WINDOW_S
 
     def read(self) -> float:
         """Return the present estimate."""
         now = trio.current_time()
         elapsed = now - self.updated_at
-        self.per_second *= max(0.0, 1.0 - elapsed / DEMAND_MEMORY_S)
+        self.per_second *= max(0.0, 1.0 - elapsed / DEMAND_WINDOW_S)
         self.updated_at = now
         return self.per_second
 
@@ -102,14 +102,14 @@
     """
 
     amount: float
-    until: float
+    expires_at: float
     grant: str = ""
     lender: str = ""
-    is_begun: bool = False
+    is_partly_used: bool = False
 
 
 @frozen
-class Lowered:
+class LowerResult:
     """What is left of a part after it was lowered.
 
     Parameters
@@ -120,4 +120,4 @@
     """
 
     units: int
-    level: float = 0.0
+    released_tokens: float = 0.0
--- a/packages/coordination/plantainshed_coordination/count_loans.py
+++ b/packages/coordination/plantainshed_coordination/count_loans.py
@@ -50,18 +50,20 @@
         self,
         network: PeerNetwork,
         membership: Membership,
-        next_grant: Callable[[], str],
+        next_grant_id: Callable[[], str],
     ):
         self.network = network
         self.membership = membership
-        self.next_grant = next_grant
-        self._to_return, self._returning = trio.open_memory_channel(float("inf"))
+        self.next_grant_id = next_grant_id
+        self._return_queue, self._pending_returns = trio.open_memory_channel(
+            float("inf")
+        )
 
     async def run(self):
         """Return borrowed counts until cancelled."""
         async with trio.open_nursery() as nursery:
             while True:
-                loan = await self._returning.receive()
+                loan = await self._pending_returns.receive()
                 nursery.start_soon(self._return, loan)
 
     async def borrow(
@@ -72,8 +74,8 @@
         With ``alone``, one that no other loan of this kind is using.
         """
         for vm in lenders:
-            grant_name = self.next_grant()
-            request = LoanRequest(budget=group, amount=1, grant=grant_name, alone=alone)
+            grant_id = self.next_grant_id()
+            request = LoanRequest(budget=group, amount=1, grant=grant_id, alone=alone)
             member = self.membership.table.members.get(vm)
             if member is None:
                 continue
@@ -85,15 +87,15 @@
             except PeerError:
                 # The lender may have lent it all the same. It is told that
                 # nobody uses the loan, or it would miss that one for good.
-                self.give_back(BorrowedCount(vm, incarnation, "", grant_name))
+                self.give_back(BorrowedCount(vm, incarnation, "", grant_id))
                 continue
             if grant.amount >= 1:
-                return BorrowedCount(vm, incarnation, grant.budget, grant_name)
+                return BorrowedCount(vm, incarnation, grant.budget, grant_id)
         return None
 
     def give_back(self, loan: BorrowedCount):
         """Return a borrowed count; goes on in the background until confirmed."""
-        self._to_return.send_nowait(loan)
+        self._return_queue.send_nowait(loan)
 
     async def _return(self, loan: BorrowedCount):
         message = LoanReturn(budget=loan.budget, grant=loan.grant)
--- a/packages/coordination/plantainshed_coordination/count_part.py
+++ b/packages/coordination/plantainshed_coordination/count_part.py
@@ -2,7 +2,7 @@
 
 import trio
 
-from .budgets import BudgetSpec, DemandMeter, Lowered
+from .budgets import BudgetSpec, DemandMeter, LowerResult
 
 
 class CountPart:
@@ -70,7 +70,7 @@
         self.peak = max(self.peak, float(self.in_use + len(self.lent)))
         return True
 
-    def take_back(self, grant: str):
+    def reclaim_loan(self, grant: str):
         """End a loan. It is remembered for a while, as its request may be late."""
         self.lent.pop(grant, None)
         self.lent_alone.discard(grant)
@@ -79,10 +79,10 @@
         for old in [g for g, at in self.returned.items() if now - at > 30.0]:
             del self.returned[old]
 
-    def take_back_from_gone(self, is_gone):
+    def reclaim_from_ended_runs(self, is_gone):
         """End the loans of runs that are certain to be over."""
         for grant in [g for g, run in self.lent.items() if is_gone(*run)]:
-            self.take_back(grant)
+            self.reclaim_loan(grant)
 
     def set_units(self, units: int, total: int | None = None):
         """Change the part. ``total`` is the whole that it is a part of."""
@@ -93,19 +93,19 @@
         """Take over another count."""
         self.spec = spec
 
-    def lower_to(self, units: int) -> Lowered:
+    def lower_to(self, units: int) -> LowerResult:
         """Give up what is asked as far as it is not in use."""
-        busy = self.in_use + len(self.lent)
-        self.units = min(self.units, max(units, busy))
-        return Lowered(self.units)
+        occupied = self.in_use + len(self.lent)
+        self.units = min(self.units, max(units, occupied))
+        return LowerResult(self.units)
 
     def restore(self, units: int, level: float):
         """Take back what `lower_to` gave up."""
         self.units = units
 
-    def wanted(self) -> float:
+    def estimate_demand(self) -> float:
         """Return how many this VM's callers could use; forgets old peaks."""
-        busy = float(self.in_use + len(self.lent))
-        wanted = max(self.peak, busy) + self.denied.read()
-        self.peak = max(busy, self.peak * 0.7)
-        return wanted
+        occupied = float(self.in_use + len(self.lent))
+        demand = max(self.peak, occupied) + self.denied.read()
+        self.peak = max(occupied, self.peak * 0.7)
+        return demand
--- a/packages/coordination/plantainshed_coordination/demand_reporter.py
+++ b/packages/coordination/plantainshed_coordination/demand_reporter.py
@@ -11,7 +11,7 @@
 from .rebalancer import ASK_TIMEOUT_S, Rebalancer
 
 PERIOD_S = 1.0
-REPORTS_A_SECOND = 200
+MAX_REPORTS_PER_SECOND = 200
 
 
 class DemandReporter:
@@ -43,8 +43,8 @@
         """Report until cancelled."""
         while True:
             await self.report_all()
-            fleet = len(self.membership.table.members)
-            await trio.sleep(max(PERIOD_S, fleet / REPORTS_A_SECOND))
+            fleet_size = len(self.membership.table.members)
+            await trio.sleep(max(PERIOD_S, fleet_size / MAX_REPORTS_PER_SECOND))
 
     async def report_all(self):
         """Report every shard once."""
@@ -56,22 +56,24 @@
     async def _report(self, shard: str):
         identity = self.membership.identity
         report = self.holdings.report(shard, identity.failure_domain)
-        vm = self.holdings.rebalancer_of.get(shard) or self._guess(shard)
+        vm = self.holdings.rebalancer_by_shard.get(shard) or self._likely_rebalancer(
+            shard
+        )
         rebalancer = self.rebalancers[shard]
         if rebalancer.lease.is_held:
             self.holdings.apply(await rebalancer.on_report(identity, report))
             return
         if vm == identity.vm:
-            self.holdings.rebalancer_of.pop(shard, None)
+            self.holdings.rebalancer_by_shard.pop(shard, None)
             return
         try:
             answer = await self.network.ask(vm, "demand_report", report, ASK_TIMEOUT_S)
         except PeerError:
-            self.holdings.rebalancer_of.pop(shard, None)
+            self.holdings.rebalancer_by_shard.pop(shard, None)
             return
         self.holdings.apply(answer)
 
-    def _guess(self, shard: str) -> str:
+    def _likely_rebalancer(self, shard: str) -> str:
         usable = self.membership.usable_vms()
         return rendezvous_order(shard, usable)[0]
 
--- a/packages/coordination/plantainshed_coordination/division.py
+++ b/packages/coordination/plantainshed_coordination/division.py
@@ -6,7 +6,7 @@
 
 
 def divide(
-    units: int, wanted: Mapping[str, float], equal_share: float = EQUAL_SHARE
+    units: int, demands: Mapping[str, float], equal_share: float = EQUAL_SHARE
 ) -> dict[str, int]:
     """Divide units: a small part equally, the rest by what is wanted.
 
@@ -23,18 +23,20 @@
         Fraction that is divided equally, so that a first request on a VM that
         had none is not refused while the division catches up.
     """
-    if not wanted:
+    if not demands:
         return {}
-    total = sum(wanted.values())
+    total = sum(demands.values())
     if total <= 0:
         equal_share = 1.0
-    exact = {}
-    for name, amount in wanted.items():
+    exact_shares = {}
+    for name, amount in demands.items():
         by_demand = amount / total if total > 0 else 0.0
-        share = equal_share / len(wanted) + (1 - equal_share) * by_demand
-        exact[name] = units * share
-    parts = {name: int(amount) for name, amount in exact.items()}
-    remainders = sorted(exact, key=lambda name: (parts[name] - exact[name], name))
+        share = equal_share / len(demands) + (1 - equal_share) * by_demand
+        exact_shares[name] = units * share
+    parts = {name: int(amount) for name, amount in exact_shares.items()}
+    remainders = sorted(
+        exact_shares, key=lambda name: (parts[name] - exact_shares[name], name)
+    )
     for name in remainders[: units - sum(parts.values())]:
         parts[name] += 1
     return parts
--- a/packages/coordination/plantainshed_coordination/holdings.py
+++ b/packages/coordination/plantainshed_coordination/holdings.py
@@ -4,7 +4,7 @@
 
 from attrs import define, field
 
-from .budgets import BudgetKind, BudgetSpec, Lowered
+from .budgets import BudgetKind, BudgetSpec, LowerResult
 from .count_part import CountPart
 from .ledger import shard_of
 from .network import PeerNetwork
@@ -24,12 +24,12 @@
 from .rate_part import RatePart
 
 AnyPart = RatePart | CountPart
-PART_OF_KIND = {BudgetKind.RATE: RatePart, BudgetKind.COUNT: CountPart}
+PART_CLASS_BY_KIND = {BudgetKind.RATE: RatePart, BudgetKind.COUNT: CountPart}
 GroupChoice = Callable[[str, bool], str | None]
 
 
 @define
-class LoweredParts:
+class PendingReduction:
     """What this VM gave up for a version that is about to be written.
 
     Parameters
@@ -43,8 +43,8 @@
     """
 
     mark: str
-    units: dict[str, int] = field(factory=dict)
-    levels: dict[str, float] = field(factory=dict)
+    previous_units: dict[str, int] = field(factory=dict)
+    released_tokens: dict[str, float] = field(factory=dict)
 
 
 class Holdings:
@@ -73,9 +73,9 @@
         self.parts: dict[str, AnyPart] = {}
         self.known_version: dict[str, int] = {}
         self.applied_version: dict[str, int] = {}
-        self.rebalancer_of: dict[str, str] = {}
+        self.rebalancer_by_shard: dict[str, str] = {}
         self.leaving = False
-        self._lowered: dict[str, LoweredParts] = {}
+        self._pending_reductions: dict[str, PendingReduction] = {}
         self.choose_from_group: GroupChoice = lambda name, alone: None
         network.handlers["loan_request"] = self._on_loan_request
         network.handlers["loan_return"] = self._on_loan_return
@@ -91,21 +91,21 @@
         for name, spec in wanted.items():
             part = self.parts.get(name)
             if part is None or part.spec.kind is not spec.kind:
-                self.parts[name] = PART_OF_KIND[spec.kind](spec)
+                self.parts[name] = PART_CLASS_BY_KIND[spec.kind](spec)
             elif part.spec != spec:
                 part.set_spec(spec)
 
-    def rate(self, name: str) -> RatePart | None:
+    def rate_part(self, name: str) -> RatePart | None:
         """Return the part of a rate budget, None if there is no such budget."""
         part = self.parts.get(name)
         return part if isinstance(part, RatePart) else None
 
-    def count(self, name: str) -> CountPart | None:
+    def count_part(self, name: str) -> CountPart | None:
         """Return the part of a count budget, None if there is no such budget."""
         part = self.parts.get(name)
         return part if isinstance(part, CountPart) else None
 
-    def is_in_force(self, part: AnyPart) -> bool:
+    def is_current(self, part: AnyPart) -> bool:
         """Tell whether a part is still one of this VM's.
 
         Whoever kept a part over an await asks: a document can have taken its
@@ -137,7 +137,7 @@
                 continue
             if self.leaving:
                 part.lower_to(0)
-            wanted = part.wanted()
+            wanted = part.estimate_demand()
             if wanted > 0 or part.units:
                 report.demands.append(
                     Demand(budget=name, wanted=wanted, units=part.units)
@@ -148,7 +148,7 @@
         """Take over the parts that a ledger version gives this VM."""
         version = message.version
         if message.rebalancer:
-            self.rebalancer_of[message.shard] = message.rebalancer
+            self.rebalancer_by_shard[message.shard] = message.rebalancer
         if self.leaving:
             # Everything was given up; what is on its way still was sent before.
             return
@@ -156,26 +156,26 @@
             # Late: a newer version, or a promise to a newer one, stands.
             # Believing it would raise a part that was already given up.
             return
-        self._lowered.pop(message.shard, None)
-        is_first = version > self.applied_version.get(message.shard, 0)
+        self._pending_reductions.pop(message.shard, None)
+        is_new_version = version > self.applied_version.get(message.shard, 0)
         self.known_version[message.shard] = version
         self.applied_version[message.shard] = version
-        given = {part.budget: part for part in message.parts}
+        assigned = {part.budget: part for part in message.parts}
         for name, part in self.parts.items():
             if shard_of(part.spec) != message.shard:
                 continue
-            if name not in given:
+            if name not in assigned:
                 part.lower_to(0)
                 continue
-            self._set(part, given[name], is_first)
+            self._assign(part, assigned[name], is_new_version)
 
-    def _set(self, part: AnyPart, given: Part, is_first: bool):
+    def _assign(self, part: AnyPart, assigned: Part, is_new_version: bool):
         if part.spec.kind is BudgetKind.COUNT:
-            part.set_units(given.units, total=given.total)
+            part.set_units(assigned.units, total=assigned.total)
         else:
             # Tokens that come with a version are added once, however often the
             # message arrives.
-            part.set_units(given.units, given.level if is_first else 0.0)
+            part.set_units(assigned.units, assigned.level if is_new_version else 0.0)
 
     async def _on_set_parts(self, sender, message: SetParts):
         self.apply(message)
@@ -195,15 +195,19 @@
             return PartsLowered()
         self.known_version[message.shard] = message.for_version
         lowered = PartsLowered()
-        before = self._lowered[message.shard] = LoweredParts(message.mark)
+        pending = self._pending_reductions[message.shard] = PendingReduction(
+            message.mark
+        )
         for item in message.parts:
             part = self.parts.get(item.budget)
             units = part.units if part else 0
-            left = part.lower_to(item.units) if part else Lowered(0)
-            before.units[item.budget] = units
-            before.levels[item.budget] = left.level
+            result = part.lower_to(item.units) if part else LowerResult(0)
+            pending.previous_units[item.budget] = units
+            pending.released_tokens[item.budget] = result.released_tokens
             lowered.parts.append(
-                Part(budget=item.budget, units=left.units, level=left.level)
+                Part(
+                    budget=item.budget, units=result.units, level=result.released_tokens
+                )
             )
         return lowered
 
@@ -217,13 +221,13 @@
         Only the very attempt that this VM answered last can be taken back: if
         another rebalancer asked since, what was given up is promised to it.
         """
-        lowered = self._lowered.pop(message.shard, None)
-        if lowered is None or lowered.mark != message.mark or self.leaving:
+        pending = self._pending_reductions.pop(message.shard, None)
+        if pending is None or pending.mark != message.mark or self.leaving:
             return
-        for name, units in lowered.units.items():
+        for name, units in pending.previous_units.items():
             part = self.parts.get(name)
             if part is not None:
-                part.restore(units, lowered.levels[name])
+                part.restore(units, pending.released_tokens[name])
         self.known_version[message.shard] = self.applied_version.get(message.shard, 0)
 
     async def _on_loan_request(self, sender, message: LoanRequest):
@@ -254,11 +258,11 @@
             parts = list(self.parts.values())
         for part in parts:
             if part is not None:
-                part.take_back(message.grant)
+                part.reclaim_loan(message.grant)
         return Ack()
 
     def end_loans_to_gone(self, is_gone: Callable[[str, int], bool]):
         """Take back what was lent to runs that are certain to be over."""
         for part in self.parts.values():
             if isinstance(part, CountPart):
-                part.take_back_from_gone(is_gone)
+                part.reclaim_from_ended_runs(is_gone)
--- a/packages/coordination/plantainshed_coordination/ledger.py
+++ b/packages/coordination/plantainshed_coordination/ledger.py
@@ -36,7 +36,7 @@
     parts: dict[str, int]
 
     @property
-    def held(self) -> int:
+    def held_units(self) -> int:
         """Units that are held."""
         return sum(self.parts.values())
 
--- a/packages/coordination/plantainshed_coordination/lenders.py
+++ b/packages/coordination/plantainshed_coordination/lenders.py
@@ -5,24 +5,24 @@
 import trio
 from attrs import define, frozen
 
-from .budgets import ROUNDING, WHOLE_TOKEN
+from .budgets import ROUNDING_TOLERANCE, WHOLE_TOKEN
 from .membership import Membership
 from .network import PeerNetwork
 
 MIN_LOAN = 1e-3
-LEFT_FRESH_S = 0.5
+AVAILABILITY_TTL_S = 0.5
 # A VM that did not answer in time is asked again unless it failed before within
 # this time and has not answered since; one that is gone is then left out by
 # membership.
-SECOND_CHANCE_S = 2.0
+FAILURE_WINDOW_S = 2.0
 # Questions in a row without an answer after which a VM counts as having nothing for
 # a while. One whose answers come late is alive, and may soon be in time again.
-TRIES_OF_SILENT = 2
-TRIES_OF_LATE = 4
+MAX_TRIES_IF_SILENT = 2
+MAX_TRIES_IF_LATE = 4
 
 
 @frozen
-class HeardLeft:
+class ReportedAvailability:
     """What a lender said that it had left, and when.
 
     Parameters
@@ -34,12 +34,12 @@
     """
 
     amount: float
-    at: float
-    is_silence: bool = False
+    received_at: float
+    is_unresponsive: bool = False
 
 
 @define
-class Failures:
+class FailedRequests:
     """Questions in a row that a VM did not answer in time.
 
     Attributes
@@ -52,22 +52,24 @@
     """
 
     count: int = 0
-    last_at: float = -math.inf
-    has_answered: bool = False
+    last_failed_at: float = -math.inf
+    has_answered_late: bool = False
 
-    def note(self, asked_at: float):
+    def record(self, asked_at: float):
         """Count a question that is given up now.
 
         Several that were under way at once, for different budgets, show only once
         that the VM does not answer.
         """
-        if asked_at >= self.last_at:
+        if asked_at >= self.last_failed_at:
             self.count += 1
-            self.last_at = trio.current_time()
+            self.last_failed_at = trio.current_time()
 
-    def is_last_try(self) -> bool:
+    def is_exhausted(self) -> bool:
         """Tell whether the VM is not to be asked again for a while."""
-        return self.count >= (TRIES_OF_LATE if self.has_answered else TRIES_OF_SILENT)
+        return self.count >= (
+            MAX_TRIES_IF_LATE if self.has_answered_late else MAX_TRIES_IF_SILENT
+        )
 
 
 class Lenders:
@@ -82,84 +84,93 @@
 
     def __init__(self, network: PeerNetwork, membership: Membership):
         self.membership = membership
-        self._last_left: dict[tuple[str, str], HeardLeft] = {}
-        self._failures: dict[str, Failures] = {}
+        self._reported: dict[tuple[str, str], ReportedAvailability] = {}
+        self._failures: dict[str, FailedRequests] = {}
         network.late_answer_handlers["loan_grant"] = self._on_late_answer
 
-    def others(self) -> list[str]:
+    def peer_vms(self) -> list[str]:
         """Return the other VMs that may be asked."""
         own = self.membership.identity.vm
         return [vm for vm in self.membership.usable_vms() if vm != own]
 
-    def is_near(self, vm: str) -> bool:
+    def is_in_own_domain(self, vm: str) -> bool:
         """Tell whether a VM is in this VM's failure domain."""
         own = self.membership.identity.failure_domain
         return self.membership.failure_domain_of(vm) == own
 
-    def known_left(self, name: str) -> dict[str, float]:
+    def available_by_vm(self, name: str) -> dict[str, float]:
         """Return what VMs said lately that they have left."""
-        known = {}
-        for vm in self.others():
-            left = self._left_at(name, vm)
-            if left is not None:
-                known[vm] = left
-        return known
-
-    def _left_at(self, name: str, vm: str) -> float | None:
+        available = {}
+        for vm in self.peer_vms():
+            amount = self._available_at(name, vm)
+            if amount is not None:
+                available[vm] = amount
+        return available
+
+    def _available_at(self, name: str, vm: str) -> float | None:
         """Return what a VM said lately that it has left; None if it is not known."""
-        heard = self._last_left.get((name, vm))
-        if heard is None or trio.current_time() - heard.at > LEFT_FRESH_S:
+        reported = self._reported.get((name, vm))
+        if (
+            reported is None
+            or trio.current_time() - reported.received_at > AVAILABILITY_TTL_S
+        ):
             return None
-        return heard.amount
+        return reported.amount
 
-    def may_have_more(
-        self, name: str, known: dict[str, float], since: float
+    def possibly_outdated(
+        self, name: str, available: dict[str, float], since: float
     ) -> list[str]:
         """Return VMs whose word is older than a round that began at a time.
 
         It tells whom to borrow from, but not that nobody has any: what a VM
         lacked then, refills or a moved part may have brought it since.
         """
-        heard = {vm: self._last_left[name, vm] for vm in known}
+        reported = {vm: self._reported[name, vm] for vm in available}
         return [
-            vm for vm, left in heard.items() if left.at < since and not left.is_silence
+            vm
+            for vm, report in reported.items()
+            if report.received_at < since and not report.is_unresponsive
         ]
 
-    def is_enough(self, known: dict[str, float], missing: float) -> bool:
+    def is_enough(self, available: dict[str, float], missing: float) -> bool:
         """Tell whether known tokens would serve a request."""
-        return sum(known.values()) + ROUNDING >= min(missing, WHOLE_TOKEN)
+        return sum(available.values()) + ROUNDING_TOLERANCE >= min(missing, WHOLE_TOKEN)
 
-    def plan_loans(self, name: str, missing: float, ahead: float) -> dict[str, float]:
+    def plan_loans(
+        self, name: str, missing: float, prefetch: float
+    ) -> dict[str, float]:
         """Return how much to borrow from whom; nothing if it would not do."""
-        known = self.known_left(name)
-        if not self.is_enough(known, missing):
+        available = self.available_by_vm(name)
+        if not self.is_enough(available, missing):
             return {}
-        wanted = missing + ahead
+        wanted = missing + prefetch
         plan = {}
-        for vm in sorted(known, key=known.get, reverse=True):
-            amount = min(known[vm], wanted)
+        for vm in sorted(available, key=available.get, reverse=True):
+            amount = min(available[vm], wanted)
             if amount <= MIN_LOAN:
                 break
             plan[vm] = amount
             wanted -= amount
         return plan
 
-    def note_left(self, vm: str, name: str, amount: float):
+    def record_availability(self, vm: str, name: str, amount: float):
         """Note what a VM says that it has left."""
         self._failures.pop(vm, None)
-        self._last_left[name, vm] = HeardLeft(amount, trio.current_time())
+        self._reported[name, vm] = ReportedAvailability(amount, trio.current_time())
 
-    def note_no_answer(self, vm: str, name: str, asked_at: float) -> bool:
+    def record_timeout(self, vm: str, name: str, asked_at: float) -> bool:
         """Note a question that is given up now; tell whether to ask the VM again."""
         now = trio.current_time()
         failures = self._failures.get(vm)
-        if failures is None or now - failures.last_at > SECOND_CHANCE_S:
-            failures = self._failures[vm] = Failures()
-        failures.note(asked_at)
-        if failures.is_last_try():
-            self._last_left[name, vm] = HeardLeft(0.0, now, is_silence=True)
+        if failures is None or now - failures.last_failed_at > FAILURE_WINDOW_S:
+            failures = self._failures[vm] = FailedRequests()
+        failures.record(asked_at)
+        if failures.is_exhausted():
+            self._reported[name, vm] = ReportedAvailability(
+                0.0, now, is_unresponsive=True
+            )
             return False
-        self._last_left.pop((name, vm), None)
+        self._reported.pop((name, vm), None)
         return True
 
     def _on_late_answer(self, vm: str):
@@ -167,9 +178,9 @@
         failures = self._failures.get(vm)
         if failures is None:
             return
-        failures.has_answered = True
-        if failures.is_last_try():
+        failures.has_answered_late = True
+        if failures.is_exhausted():
             return
-        for key, left in list(self._last_left.items()):
-            if key[1] == vm and left.is_silence:
-                del self._last_left[key]
+        for key, report in list(self._reported.items()):
+            if key[1] == vm and report.is_unresponsive:
+                del self._reported[key]
--- a/packages/coordination/plantainshed_coordination/lending.py
+++ b/packages/coordination/plantainshed_coordination/lending.py
@@ -14,26 +14,26 @@
 from .digests import rendezvous_order
 from .errors import PeerError
 from .holdings import Holdings
-from .lenders import LEFT_FRESH_S, TRIES_OF_LATE, Lenders
+from .lenders import AVAILABILITY_TTL_S, MAX_TRIES_IF_LATE, Lenders
 from .membership import Membership
 from .network import PeerNetwork
 from .peer_pb2 import LoanRequest, LoanReturn
 from .rate_part import RatePart
 
-ASKED_AT_ONCE = 8
-TRIES_A_ROUND = 2
-DRY_MIN_S = 0.02
-DRY_MAX_S = 0.16
+MAX_PARALLEL_QUERIES = 8
+LOAN_ATTEMPTS_PER_ROUND = 2
+BACKOFF_MIN_S = 0.02
+BACKOFF_MAX_S = 0.16
 PREFETCH_S = 0.05
 MAX_REFILL_WAIT_S = 0.05
 MAX_ROUNDS = 2
 # Rounds if a loan came later than it can be used. A busy machine answers within
 # 0.1 to 0.2 s; four rounds hold a request for half a second at most.
-LATE_ROUNDS = TRIES_OF_LATE
+MAX_ROUNDS_IF_LATE = MAX_TRIES_IF_LATE
 
 
 @define
-class Round:
+class BorrowRound:
     """One round of questions, on which several requests may wait.
 
     Attributes
@@ -47,10 +47,10 @@
         Whether a request got a token.
     """
 
-    began_at: float = field(factory=trio.current_time)
-    ended: trio.Event = field(factory=trio.Event)
-    is_late: bool = False
-    has_served: bool = False
+    started_at: float = field(factory=trio.current_time)
+    finished: trio.Event = field(factory=trio.Event)
+    had_late_answer: bool = False
+    served_any: bool = False
 
 
 @define(eq=False)
@@ -61,11 +61,11 @@
 
 
 @frozen
-class DrySpell:
+class Backoff:
     """A time in which peers are not asked, as none had anything to lend."""
 
-    length_s: float
-    until: float
+    duration_s: float
+    ends_at: float
 
 
 class Lending:
@@ -87,11 +87,11 @@
         self.holdings = holdings
         self.lenders = Lenders(network, membership)
         self.rounds = 0
-        self._running: dict[str, Round] = {}
-        self._waiting: dict[str, list[Waiter]] = {}
-        self._dry: dict[str, DrySpell] = {}
+        self._running_rounds: dict[str, BorrowRound] = {}
+        self._waiters: dict[str, list[Waiter]] = {}
+        self._backoffs: dict[str, Backoff] = {}
         self._grant_numbers = itertools.count(1)
-        self.counts = CountLoans(network, membership, self._next_grant)
+        self.counts = CountLoans(network, membership, self._next_grant_id)
 
     async def run(self):
         """Return borrowed counts until cancelled."""
@@ -104,157 +104,182 @@
         one, or that the budget is gone. The wait is one round trip or two,
         never until a deadline.
         """
-        part = self.holdings.rate(name)
+        part = self.holdings.rate_part(name)
         if part is None:
             return False
         part.demand.add(1)
-        waiting = self._waiting.setdefault(name, [])
+        waiters = self._waiters.setdefault(name, [])
         # What the earlier ones wait for is theirs. Taken by whoever comes next,
         # it would be borrowed in vain, and a round would seem to find nothing.
-        if part.try_take(leaving=len(waiting)):
+        if part.try_take(reserve=len(waiters)):
             return True
         waiter = Waiter()
-        waiting.append(waiter)
+        waiters.append(waiter)
         try:
-            for number in range(1, LATE_ROUNDS + 1):
-                if self._is_dry(name):
+            for round_number in range(1, MAX_ROUNDS_IF_LATE + 1):
+                if self._is_backing_off(name):
                     break
-                last = await self._one_round(name, part)
-                if not self.holdings.is_in_force(part):
+                latest = await self._join_or_run_round(name, part)
+                if not self.holdings.is_current(part):
                     return False
                 if waiter.is_served:
                     return True
                 # Refusing on a late loan would turn away a workspace that is
                 # far below its rate, whenever a peer is busy for a moment.
-                if number >= MAX_ROUNDS and not last.is_late:
+                if round_number >= MAX_ROUNDS and not latest.had_late_answer:
                     break
-            return await self._take_after_refill(part, waiter)
+            return await self._wait_for_refill(part, waiter)
         finally:
             if not waiter.is_served:
-                waiting.remove(waiter)
+                waiters.remove(waiter)
 
-    async def _take_after_refill(self, part: RatePart, waiter: Waiter) -> bool:
-        wait_s = part.seconds_until()
+    async def _wait_for_refill(self, part: RatePart, waiter: Waiter) -> bool:
+        wait_s = part.seconds_until_available()
         if wait_s > MAX_REFILL_WAIT_S:
             return False
         await trio.sleep(wait_s)
-        if not self.holdings.is_in_force(part):
+        if not self.holdings.is_current(part):
             return False
         return waiter.is_served or part.try_take()
 
-    def _hand_out(self, name: str, part: RatePart, own: Round):
+    def _serve_waiters(self, name: str, part: RatePart, borrow_round: BorrowRound):
         """Give tokens at hand to those who wait, in the order they came."""
-        if not self.holdings.is_in_force(part):
+        if not self.holdings.is_current(part):
             return
-        waiting = self._waiting[name]
-        while waiting and part.try_take():
-            waiting.pop(0).is_served = True
-            own.has_served = True
+        waiters = self._waiters[name]
+        while waiters and part.try_take():
+            waiters.pop(0).is_served = True
+            borrow_round.served_any = True
 
-    def _is_dry(self, name: str) -> bool:
-        spell = self._dry.get(name)
-        return spell is not None and spell.until > trio.current_time()
+    def _is_backing_off(self, name: str) -> bool:
+        backoff = self._backoffs.get(name)
+        return backoff is not None and backoff.ends_at > trio.current_time()
 
-    async def _one_round(self, name: str, part: RatePart) -> Round:
-        running = self._running.get(name)
+    async def _join_or_run_round(self, name: str, part: RatePart) -> BorrowRound:
+        running = self._running_rounds.get(name)
         if running is not None:
-            await running.ended.wait()
+            await running.finished.wait()
             return running
-        own = self._running[name] = Round()
+        borrow_round = self._running_rounds[name] = BorrowRound()
         try:
-            await self._ask_peers(name, part, own)
+            await self._run_round(name, part, borrow_round)
         finally:
-            del self._running[name]
-            own.ended.set()
-        return own
+            del self._running_rounds[name]
+            borrow_round.finished.set()
+        return borrow_round
 
-    async def _ask_peers(self, name: str, part: RatePart, own: Round):
+    async def _run_round(self, name: str, part: RatePart, borrow_round: BorrowRound):
         self.rounds += 1
-        ahead = part.demand.read() * PREFETCH_S
-        for _ in range(TRIES_A_ROUND):
-            self._hand_out(name, part, own)
-            if not self._waiting[name] or not self.holdings.is_in_force(part):
+        prefetch = part.demand.read() * PREFETCH_S
+        for _ in range(LOAN_ATTEMPTS_PER_ROUND):
+            self._serve_waiters(name, part, borrow_round)
+            if not self._waiters[name] or not self.holdings.is_current(part):
                 break
-            missing = len(self._waiting[name]) - part.available()
-            await self._learn_what_is_left(name, missing, own)
-            plan = self.lenders.plan_loans(name, missing, ahead)
+            missing = len(self._waiters[name]) - part.available()
+            await self._query_availability(name, missing, borrow_round)
+            plan = self.lenders.plan_loans(name, missing, prefetch)
             if not plan:
                 break
             async with trio.open_nursery() as nursery:
                 for vm, amount in plan.items():
-                    nursery.start_soon(self._borrow_tokens, vm, part, amount, own)
-        self._hand_out(name, part, own)
-        if own.has_served:
-            self._dry.pop(name, None)
+                    nursery.start_soon(
+                        self._borrow_tokens, vm, part, amount, borrow_round
+                    )
+        self._serve_waiters(name, part, borrow_round)
+        if borrow_round.served_any:
+            self._backoffs.pop(name, None)
             return
-        if own.is_late:
+        if borrow_round.had_late_answer:
             return
-        await self._give_back_tokens(name, part)
+        await self._return_unused_loans(name, part)
         # Nobody has any. Asking again for each request of a workspace far
         # above its rate would flood the peers and find nothing, so the pause
         # doubles until something was found.
-        last = self._dry.get(name)
-        length = min(DRY_MAX_S, last.length_s * 2) if last else DRY_MIN_S
-        self._dry[name] = DrySpell(length, trio.current_time() + length)
+        previous = self._backoffs.get(name)
+        duration = (
+            min(BACKOFF_MAX_S, previous.duration_s * 2) if previous else BACKOFF_MIN_S
+        )
+        self._backoffs[name] = Backoff(duration, trio.current_time() + duration)
 
-    async def _give_back_tokens(self, name: str, part: RatePart):
+    async def _return_unused_loans(self, name: str, part: RatePart):
         """Return loans that make no whole token, or they would be lost.
 
         Several VMs that lack tokens at a time each get a fraction of the last.
         """
-        if part.seconds_until() <= MAX_REFILL_WAIT_S:
+        if part.seconds_until_available() <= MAX_REFILL_WAIT_S:
             return
-        for loan in part.give_up_loans():
+        for loan in part.drop_unused_loans():
             message = LoanReturn(budget=name, grant=loan.grant)
             await self.network.send(loan.lender, "loan_return", message)
 
-    async def _learn_what_is_left(self, name: str, missing: float, own: Round):
+    async def _query_availability(
+        self, name: str, missing: float, borrow_round: BorrowRound
+    ):
         """Ask some VMs what they have left, unless enough is known of.
 
         Nothing is lent yet: tokens collected from several that turn out not to
         make a whole one would be lost to everybody.
         """
-        known = self.lenders.known_left(name)
-        if max(known.values(), default=0.0) >= missing:
+        available = self.lenders.available_by_vm(name)
+        if max(available.values(), default=0.0) >= missing:
             return
-        worth_asking = [vm for vm in self.lenders.others() if vm not in known]
-        if not self.lenders.is_enough(known, missing):
-            worth_asking += self.lenders.may_have_more(name, known, own.began_at)
-        order = rendezvous_order(f"{name}/{self.rounds}", worth_asking)
-        order.sort(key=lambda vm: (vm in known, not self.lenders.is_near(vm)))
+        candidates = [vm for vm in self.lenders.peer_vms() if vm not in available]
+        if not self.lenders.is_enough(available, missing):
+            candidates += self.lenders.possibly_outdated(
+                name, available, borrow_round.started_at
+            )
+        order = rendezvous_order(f"{name}/{self.rounds}", candidates)
+        order.sort(
+            key=lambda vm: (vm in available, not self.lenders.is_in_own_domain(vm))
+        )
         async with trio.open_nursery() as nursery:
-            for vm in order[:ASKED_AT_ONCE]:
-                nursery.start_soon(self._ask, vm, name, 0.0, own)
+            for vm in order[:MAX_PARALLEL_QUERIES]:
+                nursery.start_soon(self._request_loan, vm, name, 0.0, borrow_round)
 
-    async def _borrow_tokens(self, vm: str, part: RatePart, amount: float, own: Round):
+    async def _borrow_tokens(
+        self, vm: str, part: RatePart, amount: float, borrow_round: BorrowRound
+    ):
         asked_at = trio.current_time()
-        grant = self._next_grant()
-        lent = await self._ask(vm, part.spec.name, amount, own, grant)
-        if not self.holdings.is_in_force(part):
+        grant = self._next_grant_id()
+        lent = await self._request_loan(vm, part.spec.name, amount, borrow_round, grant)
+        if not self.holdings.is_current(part):
             # An error here would end the process. What was lent for a budget
             # that has gone lapses, as a loan does whose answer was lost.
             return
         if lent and not part.receive_loan(lent, asked_at, grant, vm):
-            own.is_late = True
+            borrow_round.had_late_answer = True
         # At once, as a loan can run out while other lenders are waited for.
-        self._hand_out(part.spec.name, part, own)
+        self._serve_waiters(part.spec.name, part, borrow_round)
 
-    def _next_grant(self) -> str:
+    def _next_grant_id(self) -> str:
         return f"{self.membership.identity.holder}/{next(self._grant_numbers)}"
 
-    async def _ask(
-        self, vm: str, name: str, amount: float, own: Round, grant: str = ""
+    async def _request_loan(
+        self,
+        vm: str,
+        name: str,
+        amount: float,
+        borrow_round: BorrowRound,
+        grant: str = "",
     ) -> float:
         """Ask a VM for tokens; return what it lent, 0 if it did not answer."""
         request = LoanRequest(budget=name, amount=amount, grant=grant)
         asked_at = trio.current_time()
         try:
-            grant = await self.network.ask(vm, "loan_request", request, LOAN_TIMEOUT_S)
+            answer = await self.network.ask(vm, "loan_request", request, LOAN_TIMEOUT_S)
         except PeerError:
-            own.is_late |= self.lenders.note_no_answer(vm, name, asked_at)
+            borrow_round.had_late_answer |= self.lenders.record_timeout(
+                vm, name, asked_at
+            )
             return 0.0
-        self.lenders.note_left(vm, name, grant.left)
-        return grant.amount
+        self.lenders.record_availability(vm, name, answer.left)
+        return answer.amount
 
 
-__all__ = ["DRY_MAX_S", "LATE_ROUNDS", "LEFT_FRESH_S", "MAX_ROUNDS", "Lending"]
+__all__ = [
+    "AVAILABILITY_TTL_S",
+    "BACKOFF_MAX_S",
+    "MAX_ROUNDS",
+    "MAX_ROUNDS_IF_LATE",
+    "Lending",
+]
--- a/packages/coordination/plantainshed_coordination/rate_part.py
+++ b/packages/coordination/plantainshed_coordination/rate_part.py
@@ -8,12 +8,12 @@
     LOAN_HELD_S,
     LOAN_USABLE_S,
     RATE_UNITS,
-    ROUNDING,
+    ROUNDING_TOLERANCE,
     WHOLE_TOKEN,
     BudgetSpec,
     DemandMeter,
     Loan,
-    Lowered,
+    LowerResult,
 )
 
 
@@ -40,8 +40,8 @@
         self.level = 0.0
         self.demand = DemandMeter()
         self.updated_at = trio.current_time()
-        self._lent: list[Loan] = []
-        self._borrowed: list[Loan] = []
+        self._lent_loans: list[Loan] = []
+        self._borrowed_loans: list[Loan] = []
 
     @property
     def share(self) -> float:
@@ -55,37 +55,39 @@
 
     def _lent_amount(self) -> float:
         now = trio.current_time()
-        self._lent = [loan for loan in self._lent if loan.until > now]
-        return sum(loan.amount for loan in self._lent)
+        self._lent_loans = [loan for loan in self._lent_loans if loan.expires_at > now]
+        return sum(loan.amount for loan in self._lent_loans)
 
     def refill(self):
         """Bring the level up to now."""
         now = trio.current_time()
-        grown = self.level + self.spec.rate * self.share * (now - self.updated_at)
-        self.level = min(self.capacity, grown)
+        refilled = self.level + self.spec.rate * self.share * (now - self.updated_at)
+        self.level = min(self.capacity, refilled)
         self.updated_at = now
 
-    def try_take(self, amount: float = WHOLE_TOKEN, leaving: float = 0.0) -> bool:
+    def try_take(self, amount: float = WHOLE_TOKEN, reserve: float = 0.0) -> bool:
         """Take tokens if so many are left then, borrowed ones first."""
         self.refill()
-        if self.available() + ROUNDING < amount + leaving:
+        if self.available() + ROUNDING_TOLERANCE < amount + reserve:
             return False
-        left = amount
-        for loan in self._borrowed:
-            used = min(left, loan.amount)
+        remaining = amount
+        for loan in self._borrowed_loans:
+            used = min(remaining, loan.amount)
             loan.amount -= used
-            loan.is_begun |= used > 0
-            left -= used
-        self.level = max(0.0, self.level - left)
+            loan.is_partly_used |= used > 0
+            remaining -= used
+        self.level = max(0.0, self.level - remaining)
         return True
 
     def available(self) -> float:
         """Return the tokens at hand, borrowed ones included."""
         now = trio.current_time()
-        self._borrowed = [
-            loan for loan in self._borrowed if loan.until > now and loan.amount > 0
+        self._borrowed_loans = [
+            loan
+            for loan in self._borrowed_loans
+            if loan.expires_at > now and loan.amount > 0
         ]
-        return self.level + sum(loan.amount for loan in self._borrowed)
+        return self.level + sum(loan.amount for loan in self._borrowed_loans)
 
     def lend(self, amount: float, grant: str = "") -> float:
         """Give away up to so many tokens; return how many.
@@ -95,22 +97,22 @@
         beside those on their way, and both could be used at once.
         """
         self.refill()
-        given = min(amount, self.level)
-        if given > 0:
-            self.level -= given
-            until = trio.current_time() + LOAN_HELD_S
-            self._lent.append(Loan(given, until, grant))
-        return given
-
-    def take_back(self, grant: str):
+        lent = min(amount, self.level)
+        if lent > 0:
+            self.level -= lent
+            expires_at = trio.current_time() + LOAN_HELD_S
+            self._lent_loans.append(Loan(lent, expires_at, grant))
+        return lent
+
+    def reclaim_loan(self, grant: str):
         """Have a loan's tokens again, of which the borrower used none.
 
         One that is over already has made room for a refill, and counts no more.
         """
         self.refill()
-        for loan in self._lent:
+        for loan in self._lent_loans:
             if grant and loan.grant == grant:
-                self._lent.remove(loan)
+                self._lent_loans.remove(loan)
                 self.level = min(self.capacity, self.level + loan.amount)
                 return
 
@@ -123,19 +125,21 @@
         asked for. A loan that comes late, or to a process that was paused
         meanwhile, is worth nothing.
         """
-        until = asked_at + LOAN_USABLE_S
-        if amount <= 0 or until <= trio.current_time():
+        expires_at = asked_at + LOAN_USABLE_S
+        if amount <= 0 or expires_at <= trio.current_time():
             return False
-        self._borrowed.append(Loan(amount, until, grant, lender))
+        self._borrowed_loans.append(Loan(amount, expires_at, grant, lender))
         return True
 
-    def give_up_loans(self) -> list[Loan]:
+    def drop_unused_loans(self) -> list[Loan]:
         """Give up borrowed tokens; return the loans of which none were used."""
-        unused = [loan for loan in self._borrowed if not loan.is_begun]
-        self._borrowed = [loan for loan in self._borrowed if loan.is_begun]
+        unused = [loan for loan in self._borrowed_loans if not loan.is_partly_used]
+        self._borrowed_loans = [
+            loan for loan in self._borrowed_loans if loan.is_partly_used
+        ]
         return unused
 
-    def seconds_until(self, amount: float = WHOLE_TOKEN) -> float:
+    def seconds_until_available(self, amount: float = WHOLE_TOKEN) -> float:
         """Return how long this part alone needs to have so many tokens."""
         self.refill()
         missing = amount - self.available()
@@ -157,7 +161,7 @@
         self.spec = spec
         self.level = min(self.level, self.capacity)
 
-    def lower_to(self, units: int) -> Lowered:
+    def lower_to(self, units: int) -> LowerResult:
         """Give up part of the share, and what the smaller bucket cannot hold.
 
         What is on loan stays within this part until the loan is over. Given
@@ -169,15 +173,15 @@
         if lent:
             units = max(units, math.ceil(lent / self.spec.burst * RATE_UNITS))
         if units >= self.units:
-            return Lowered(self.units)
+            return LowerResult(self.units)
         before = self.level
         self.set_units(units)
-        return Lowered(units, before - self.level)
+        return LowerResult(units, before - self.level)
 
     def restore(self, units: int, level: float):
         """Take back what `lower_to` gave up."""
         self.set_units(units, level)
 
-    def wanted(self) -> float:
+    def estimate_demand(self) -> float:
         """Return how much this VM's callers ask for."""
         return self.demand.read()
--- a/packages/coordination/plantainshed_coordination/rebalance_plan.py
+++ b/packages/coordination/plantainshed_coordination/rebalance_plan.py
@@ -8,7 +8,7 @@
 import trio
 from attrs import frozen
 
-from .budgets import BudgetKind, BudgetSpec, Lowered
+from .budgets import BudgetKind, BudgetSpec, LowerResult
 from .division import divide
 from .holdings import Holdings
 from .identity import split_holder
@@ -16,25 +16,25 @@
 from .membership import Membership
 from .peer_pb2 import DemandReport
 
-REPORT_FRESH_S = 6.0
-MIN_MOVE = 0.08
+REPORT_TTL_S = 6.0
+MIN_MOVE_FRACTION = 0.08
 
-Targets = dict[str, dict[str, int]]
-Kept = dict[tuple[str, str], Lowered]
-Levels = dict[tuple[str, str], float]
+DesiredParts = dict[str, dict[str, int]]
+LowerResults = dict[tuple[str, str], LowerResult]
+TransferredTokens = dict[tuple[str, str], float]
 
 
 @frozen
-class HeardReport:
+class ReceivedReport:
     """A demand report and when it came."""
 
     report: DemandReport
-    at: float
-    wanted: dict[str, float]
+    received_at: float
+    demands: dict[str, float]
 
 
 @frozen
-class Fall:
+class Reduction:
     """A part that its holder is asked to lower."""
 
     holder: str
@@ -61,67 +61,71 @@
         self.shard = shard
         self.membership = membership
         self.holdings = holdings
-        self.reports: dict[str, HeardReport] = {}
+        self.reports: dict[str, ReceivedReport] = {}
 
     def specs(self) -> list[BudgetSpec]:
         """Return the budgets of the shard that this VM knows."""
         specs = [part.spec for part in self.holdings.parts.values()]
         return [spec for spec in specs if shard_of(spec) == self.shard]
 
-    def targets(self, ledger: Ledger) -> Targets:
+    def desired_parts(self, ledger: Ledger) -> DesiredParts:
         """Return the parts that each budget should have, where it should change."""
-        targets = {}
+        desired_parts = {}
         for spec in self.specs():
             entry = ledger.entries.get(spec.name, LedgerEntry(spec.units, {}))
-            present = self.present(spec.name, entry)
-            movable = self._movable_holders(spec)
-            fixed = {h: u for h, u in present.items() if h not in movable}
+            current_parts = self.current_parts(spec.name, entry)
+            adjustable = self._adjustable_holders(spec)
+            fixed = {
+                holder: units
+                for holder, units in current_parts.items()
+                if holder not in adjustable
+            }
             free_units = max(0, spec.units - sum(fixed.values()))
-            wanted = {h: self._wanted(h, spec) for h in movable}
-            target = {**fixed, **divide(free_units, wanted)}
-            if self._is_worth_it(spec, entry, target):
-                targets[spec.name] = target
-        return targets
+            demands = {holder: self._demand_of(holder, spec) for holder in adjustable}
+            desired = {**fixed, **divide(free_units, demands)}
+            if self._is_significant(spec, entry, desired):
+                desired_parts[spec.name] = desired
+        return desired_parts
 
-    def present(self, name: str, entry: LedgerEntry) -> dict[str, int]:
+    def current_parts(self, name: str, entry: LedgerEntry) -> dict[str, int]:
         """Return the parts that are still held: not of runs that are over.
 
         A leaving run has said what it keeps until its last request has ended.
         """
-        present = {}
+        current_parts = {}
         for holder, units in entry.parts.items():
-            if self.is_over(holder):
+            if self.has_holder_ended(holder):
                 continue
-            heard = self.reports.get(holder)
-            if heard is not None and heard.report.leaving:
-                kept = {item.budget: item.units for item in heard.report.demands}
+            received = self.reports.get(holder)
+            if received is not None and received.report.leaving:
+                kept = {item.budget: item.units for item in received.report.demands}
                 units = min(units, kept.get(name, 0))
             if units:
-                present[holder] = units
-        return present
+                current_parts[holder] = units
+        return current_parts
 
-    def _movable_holders(self, spec: BudgetSpec) -> list[str]:
+    def _adjustable_holders(self, spec: BudgetSpec) -> list[str]:
         """Return the holders whose parts can change now."""
         fresh = [
-            (holder, heard)
-            for holder, heard in self.reports.items()
-            if trio.current_time() - heard.at < REPORT_FRESH_S
-            and not heard.report.leaving
-            and not self.is_over(holder)
+            (holder, received)
+            for holder, received in self.reports.items()
+            if trio.current_time() - received.received_at < REPORT_TTL_S
+            and not received.report.leaving
+            and not self.has_holder_ended(holder)
         ]
         if spec.failure_domain:
-            near = [
+            in_domain = [
                 holder
-                for holder, heard in fresh
-                if heard.report.failure_domain == spec.failure_domain
+                for holder, received in fresh
+                if received.report.failure_domain == spec.failure_domain
             ]
-            return sorted(near)
+            return sorted(in_domain)
         return sorted(holder for holder, _ in fresh)
 
-    def _wanted(self, holder: str, spec: BudgetSpec) -> float:
-        return self.reports[holder].wanted.get(spec.name, 0.0)
+    def _demand_of(self, holder: str, spec: BudgetSpec) -> float:
+        return self.reports[holder].demands.get(spec.name, 0.0)
 
-    def is_over(self, holder: str) -> bool:
+    def has_holder_ended(self, holder: str) -> bool:
         """Tell whether a holder's part can go to others.
 
         Certainty that the run will not act again comes from the platform or
@@ -131,54 +135,73 @@
         now = trio.current_time()
         return self.membership.table.is_over(*split_holder(holder), now)
 
-    def _is_worth_it(self, spec: BudgetSpec, entry: LedgerEntry, target) -> bool:
-        if entry.total != spec.units or entry.held < sum(target.values()):
+    def _is_significant(self, spec: BudgetSpec, entry: LedgerEntry, desired) -> bool:
+        if entry.total != spec.units or entry.held_units < sum(desired.values()):
             return True
-        if any(holder not in target for holder in entry.parts):
+        if any(holder not in desired for holder in entry.parts):
             return True
         moved = max(
-            (abs(units - entry.parts.get(h, 0)) for h, units in target.items()),
+            (
+                abs(units - entry.parts.get(holder, 0))
+                for holder, units in desired.items()
+            ),
             default=0,
         )
-        least = 1 if spec.kind is BudgetKind.COUNT else MIN_MOVE * spec.units
+        least = 1 if spec.kind is BudgetKind.COUNT else MIN_MOVE_FRACTION * spec.units
         return moved > least
 
-    def falls(self, ledger: Ledger, targets: Targets) -> Iterable[Fall]:
+    def reductions(
+        self, ledger: Ledger, desired_parts: DesiredParts
+    ) -> Iterable[Reduction]:
         """Yield the parts that their holders are to lower."""
-        for name, target in targets.items():
+        for name, desired in desired_parts.items():
             entry = ledger.entries.get(name)
             if entry is None:
                 continue
             for holder, units in entry.parts.items():
-                if not self.is_over(holder) and target.get(holder, 0) < units:
-                    yield Fall(holder, name, target.get(holder, 0))
+                if not self.has_holder_ended(holder) and desired.get(holder, 0) < units:
+                    yield Reduction(holder, name, desired.get(holder, 0))
 
     def next_entry(
-        self, ledger: Ledger, spec: BudgetSpec, target: dict[str, int], lowered: Kept
+        self,
+        ledger: Ledger,
+        spec: BudgetSpec,
+        desired: dict[str, int],
+        lower_results: LowerResults,
     ) -> LedgerEntry:
         """Return a budget's next entry: what was lowered can be given to others."""
         name = spec.name
         entry = ledger.entries.get(name)
         if entry is None:
-            return LedgerEntry(spec.units, dict(target))
+            return LedgerEntry(spec.units, dict(desired))
         parts = {
-            holder: min(units, lowered.get((holder, name), Lowered(units)).units)
-            for holder, units in self.present(name, entry).items()
+            holder: min(
+                units, lower_results.get((holder, name), LowerResult(units)).units
+            )
+            for holder, units in self.current_parts(name, entry).items()
         }
         total = max(spec.units, sum(parts.values()))
-        lacking = {
+        shortfalls = {
             holder: float(units - parts.get(holder, 0))
-            for holder, units in target.items()
+            for holder, units in desired.items()
             if units > parts.get(holder, 0)
         }
-        free = min(max(0, spec.units - sum(parts.values())), int(sum(lacking.values())))
-        for holder, units in divide(free, lacking, equal_share=0.0).items():
+        free = min(
+            max(0, spec.units - sum(parts.values())), int(sum(shortfalls.values()))
+        )
+        for holder, units in divide(free, shortfalls, equal_share=0.0).items():
             parts[holder] = parts.get(holder, 0) + units
-        return LedgerEntry(total, {h: u for h, u in parts.items() if u})
+        return LedgerEntry(
+            total, {holder: units for holder, units in parts.items() if units}
+        )
 
-    def pass_on_level(
-        self, before: Ledger, spec: BudgetSpec, entry: LedgerEntry, lowered: Kept
-    ) -> Levels:
+    def tokens_for_raised_parts(
+        self,
+        before: Ledger,
+        spec: BudgetSpec,
+        entry: LedgerEntry,
+        lower_results: LowerResults,
+    ) -> TransferredTokens:
         """Return the tokens that come with each raised part, by (holder, budget).
 
         They are those that lowered parts gave up. Without this a workspace
@@ -190,10 +213,12 @@
             return {}
         old = before.entries.get(name)
         if old is None:
-            given_up = spec.burst
+            released = spec.burst
         else:
-            given_up = sum(
-                low.level for (_, budget), low in lowered.items() if budget == name
+            released = sum(
+                result.released_tokens
+                for (_, budget), result in lower_results.items()
+                if budget == name
             )
         old_parts = old.parts if old else {}
         raised = {
@@ -203,5 +228,5 @@
         }
         total = sum(raised.values())
         return {
-            (holder, name): given_up * units / total for holder, units in raised.items()
+            (holder, name): released * units / total for holder, units in raised.items()
         }
--- a/packages/coordination/plantainshed_coordination/rebalancer.py
+++ b/packages/coordination/plantainshed_coordination/rebalancer.py
@@ -10,7 +10,7 @@
 import trio
 from attrs import evolve
 
-from .budgets import Lowered
+from .budgets import LowerResult
 from .digests import rendezvous_order
 from .errors import CoordinationError, PeerError, PlatformUnavailable
 from .holdings import Holdings
@@ -22,19 +22,19 @@
 from .peer_pb2 import DemandReport, LowerParts, Part, RestoreParts, SetParts
 from .platform import Platform
 from .rebalance_plan import (
-    REPORT_FRESH_S,
-    Fall,
-    HeardReport,
-    Kept,
-    Levels,
+    REPORT_TTL_S,
+    LowerResults,
     RebalancePlan,
+    ReceivedReport,
+    Reduction,
+    TransferredTokens,
 )
 
 PERIOD_S = 1.0
 ASK_TIMEOUT_S = 0.5
-FIRST_LOOK_S = 0.5
-CANDIDACY_BASE_S = 2.0
-CANDIDACY_MAX_S = 120.0
+INITIAL_LEASE_DELAY_S = 0.5
+LEASE_RETRY_BASE_S = 2.0
+LEASE_RETRY_MAX_S = 120.0
 
 
 class Rebalancer:
@@ -66,8 +66,8 @@
         self.ledger: Ledger | None = None
         self.plan = RebalancePlan(shard, membership, holdings)
         self.writes = 0
-        self.marks = 0
-        self.levels: Levels = {}
+        self.attempts = 0
+        self.transferred_tokens: TransferredTokens = {}
 
     async def run(self, candidates):
         """Hold the lease when it can be had, and rebalance while it is held.
@@ -85,14 +85,14 @@
                     await self._try_rebalance()
 
     async def _keep_lease(self, candidates):
-        await trio.sleep(FIRST_LOOK_S * (1 + self._rank(candidates())))
+        await trio.sleep(INITIAL_LEASE_DELAY_S * (1 + self._rank(candidates())))
         while True:
             await self._try_lease()
             if self.lease.is_held:
                 await trio.sleep(self.lease.renewal_s)
             else:
                 rank = self._rank(candidates())
-                await trio.sleep(min(CANDIDACY_MAX_S, CANDIDACY_BASE_S * 2**rank))
+                await trio.sleep(min(LEASE_RETRY_MAX_S, LEASE_RETRY_BASE_S * 2**rank))
 
     def _rank(self, candidates) -> int:
         # The first in the order tries often, the others ever more rarely: one
@@ -108,10 +108,10 @@
         if await self.lease.try_hold():
             if not was_held:
                 self.ledger = None
-                self.levels = {}
+                self.transferred_tokens = {}
         elif self.lease.seen and self.lease.seen.holder:
             vm, _ = split_holder(self.lease.seen.holder)
-            self.holdings.rebalancer_of[self.shard] = vm
+            self.holdings.rebalancer_by_shard[self.shard] = vm
 
     async def _try_rebalance(self):
         try:
@@ -120,7 +120,7 @@
             # Whatever went wrong, what stands in the store is the truth, and
             # every part that was lowered meanwhile only lost budget.
             self.ledger = None
-            self.levels = {}
+            self.transferred_tokens = {}
 
     async def on_report(self, sender, report: DemandReport) -> SetParts:
         """Take in a demand report; answer with the sender's present parts."""
@@ -128,10 +128,10 @@
         if not self.lease.is_held:
             return SetParts(
                 shard=self.shard,
-                rebalancer=self.holdings.rebalancer_of.get(self.shard, ""),
+                rebalancer=self.holdings.rebalancer_by_shard.get(self.shard, ""),
             )
-        wanted = {item.budget: item.wanted for item in report.demands}
-        self.plan.reports[holder] = HeardReport(report, trio.current_time(), wanted)
+        demands = {item.budget: item.wanted for item in report.demands}
+        self.plan.reports[holder] = ReceivedReport(report, trio.current_time(), demands)
         if self.ledger is None or report.ledger_version > self.ledger.version:
             return SetParts(shard=self.shard, rebalancer=self.membership.identity.vm)
         return self._parts_message(self.ledger, holder)
@@ -141,43 +141,49 @@
         if self.ledger is None:
             self.ledger = await read_ledger(self.platform, self.shard)
         before = self.ledger
-        targets = self.plan.targets(before)
+        desired_parts = self.plan.desired_parts(before)
         after = evolve(before, entries=dict(before.entries))
-        falls = list(self.plan.falls(before, targets))
-        mark = self._next_mark(before.version + 1)
-        lowered = await self._collect(falls, before.version + 1, mark)
+        reductions = list(self.plan.reductions(before, desired_parts))
+        attempt_id = self._next_attempt_id(before.version + 1)
+        lower_results = await self._request_reductions(
+            reductions, before.version + 1, attempt_id
+        )
         changed = False
-        levels: Levels = {}
+        transferred_tokens: TransferredTokens = {}
         # Asked anew: a document can have taken budgets away during the round
         # trip. They get no next entry, and the one they have goes, so that
         # nobody keeps a part of them.
-        known = {spec.name: spec for spec in self.plan.specs()}
-        for name, spec in known.items():
-            if name not in targets:
+        known_specs = {spec.name: spec for spec in self.plan.specs()}
+        for name, spec in known_specs.items():
+            if name not in desired_parts:
                 continue
-            entry = self.plan.next_entry(before, spec, targets[name], lowered)
+            entry = self.plan.next_entry(
+                before, spec, desired_parts[name], lower_results
+            )
             changed |= entry != before.entries.get(name)
             after.entries[name] = entry
-            levels.update(self.plan.pass_on_level(before, spec, entry, lowered))
-        for name in before.entries.keys() - known.keys():
+            transferred_tokens.update(
+                self.plan.tokens_for_raised_parts(before, spec, entry, lower_results)
+            )
+        for name in before.entries.keys() - known_specs.keys():
             changed = True
             del after.entries[name]
-        if changed or self._somebody_waits_for(before.version):
+        if changed or self._holder_awaits_newer_version(before.version):
             try:
-                await self._publish(before, after, levels, mark)
+                await self._publish(before, after, transferred_tokens, attempt_id)
             except PlatformUnavailable:
-                await self._take_back(falls, mark)
+                await self._undo_reductions(reductions, attempt_id)
                 raise
 
-    async def _take_back(self, falls: list[Fall], mark: str):
+    async def _undo_reductions(self, reductions: list[Reduction], attempt_id: str):
         """Give lowered parts back after a write that certainly failed.
 
         Falls come before the write, so that an outage of the store would
         leave the fleet with a fraction of each rate until it is over.
         """
-        message = RestoreParts(shard=self.shard, mark=mark)
+        message = RestoreParts(shard=self.shard, mark=attempt_id)
         async with trio.open_nursery() as nursery:
-            for holder in {fall.holder for fall in falls}:
+            for holder in {reduction.holder for reduction in reductions}:
                 nursery.start_soon(self._restore, holder, message)
 
     async def _restore(self, holder: str, message: RestoreParts):
@@ -188,40 +194,42 @@
         with contextlib.suppress(PeerError):
             await self.network.ask(vm, "restore_parts", message, ASK_TIMEOUT_S)
 
-    def _next_mark(self, version: int) -> str:
-        self.marks += 1
-        return f"{self.membership.identity.holder}/{version}/{self.marks}"
+    def _next_attempt_id(self, version: int) -> str:
+        self.attempts += 1
+        return f"{self.membership.identity.holder}/{version}/{self.attempts}"
 
-    def _somebody_waits_for(self, version: int) -> bool:
+    def _holder_awaits_newer_version(self, version: int) -> bool:
         """Tell whether a holder gave something up for a version never written.
 
         It believes no older one, so that its part would stay low for ever.
         """
         return any(
-            heard.report.ledger_version > version
-            and trio.current_time() - heard.at < REPORT_FRESH_S
-            for heard in self.plan.reports.values()
+            received.report.ledger_version > version
+            and trio.current_time() - received.received_at < REPORT_TTL_S
+            for received in self.plan.reports.values()
         )
 
     # Falls, ledger, rises.
 
-    async def _collect(self, falls: list[Fall], for_version: int, mark: str):
+    async def _request_reductions(
+        self, reductions: list[Reduction], for_version: int, attempt_id: str
+    ):
         """Ask for all falls at once; return what each holder says it keeps."""
-        kept: Kept = {}
-        by_holder: dict[str, list[Fall]] = {}
-        for fall in falls:
-            by_holder.setdefault(fall.holder, []).append(fall)
+        results: LowerResults = {}
+        by_holder: dict[str, list[Reduction]] = {}
+        for reduction in reductions:
+            by_holder.setdefault(reduction.holder, []).append(reduction)
         async with trio.open_nursery() as nursery:
             for holder, items in by_holder.items():
                 message = LowerParts(
-                    shard=self.shard, for_version=for_version, mark=mark
+                    shard=self.shard, for_version=for_version, mark=attempt_id
                 )
-                nursery.start_soon(self._ask_to_lower, holder, items, message, kept)
-        return kept
+                nursery.start_soon(self._ask_to_lower, holder, items, message, results)
+        return results
 
-    async def _ask_to_lower(self, holder, falls, message, kept):
-        for fall in falls:
-            message.parts.append(Part(budget=fall.budget, units=fall.units))
+    async def _ask_to_lower(self, holder, reductions, message, results):
+        for reduction in reductions:
+            message.parts.append(Part(budget=reduction.budget, units=reduction.units))
         vm, incarnation = split_holder(holder)
         if vm == self.membership.identity.vm:
             if incarnation != self.membership.identity.incarnation:
@@ -235,17 +243,19 @@
             except PeerError:
                 return
         for part in answer.parts:
-            kept[holder, part.budget] = Lowered(part.units, part.level)
+            results[holder, part.budget] = LowerResult(part.units, part.level)
 
-    async def _publish(self, before: Ledger, after: Ledger, levels, mark: str):
+    async def _publish(
+        self, before: Ledger, after: Ledger, transferred_tokens, attempt_id: str
+    ):
         version = before.version + 1
         self.ledger = await write_ledger(
-            self.platform, evolve(after, version=version, writer=mark)
+            self.platform, evolve(after, version=version, writer=attempt_id)
         )
         self.writes += 1
-        self.levels = levels
+        self.transferred_tokens = transferred_tokens
         for holder in list(self.plan.reports):
-            if self.plan.is_over(holder):
+            if self.plan.has_holder_ended(holder):
                 continue
             vm, incarnation = split_holder(holder)
             message = self._parts_message(self.ledger, holder)
@@ -267,7 +277,7 @@
                 Part(
                     budget=name,
                     units=units,
-                    level=self.levels.get((holder, name), 0.0),
+                    level=self.transferred_tokens.get((holder, name), 0.0),
                     total=entry.total,
                 )
             )
--- a/tests/coordination/test_budgets.py
+++ b/tests/coordination/test_budgets.py
@@ -72,14 +72,14 @@
         """
         lender = full_part()
         lender.lend(15)
-        left = lender.lower_to(0)
-        self.assertGreaterEqual(left.units, RATE_UNITS // 2)
+        result = lender.lower_to(0)
+        self.assertGreaterEqual(result.units, RATE_UNITS // 2)
 
     @on_mock_clock
     async def test_lowered_part_says_what_it_gave_up(self):
         part = full_part()
-        left = part.lower_to(RATE_UNITS // 4)
-        self.assertAlmostEqual(left.level, WORKSPACE.burst * 0.75, places=3)
+        result = part.lower_to(RATE_UNITS // 4)
+        self.assertAlmostEqual(result.released_tokens, WORKSPACE.burst * 0.75, places=3)
 
 
 class TestCountPart(unittest.TestCase):
@@ -112,7 +112,7 @@
         part = CountPart(self.spec)
         part.set_units(2)
         part.lend("g1", ("b-1", 1))
-        part.take_back("g1")
+        part.reclaim_loan("g1")
         self.assertFalse(part.lend("g1", ("b-1", 1)))
         self.assertEqual(part.free, 2)
 
@@ -121,7 +121,7 @@
         part = CountPart(self.spec)
         part.set_units(1)
         part.lend("g1", ("b-1", 1))
-        part.take_back_from_gone(lambda vm, incarnation: vm == "b-1")
+        part.reclaim_from_ended_runs(lambda vm, incarnation: vm == "b-1")
         self.assertEqual(part.free, 1)
 
     @on_mock_clock
--- a/tests/coordination/test_lending.py
+++ b/tests/coordination/test_lending.py
@@ -13,10 +13,10 @@
 )
 from plantainshed_coordination.ledger import shard_of
 from plantainshed_coordination.lending import (
-    DRY_MAX_S,
-    LATE_ROUNDS,
-    LEFT_FRESH_S,
+    AVAILABILITY_TTL_S,
+    BACKOFF_MAX_S,
     MAX_ROUNDS,
+    MAX_ROUNDS_IF_LATE,
 )
 from plantainshed_coordination.peer_pb2 import LowerParts, Part, SetParts
 from plantainshed_coordination.rate_part import RatePart
@@ -58,7 +58,7 @@
 
     async def spend_own(self, vm):
         """Use up a VM's own tokens, so that it has to borrow."""
-        part = vm.holdings.rate(SLOW.name)
+        part = vm.holdings.rate_part(SLOW.name)
         while part.try_take():
             pass
 
@@ -88,7 +88,7 @@
                 await self.spend_own(vms["a-1"])
                 self.slow_for(fleet, 0.2)
                 self.assertTrue(await vms["a-1"].lending.take(SLOW.name))
-                await trio.sleep(LEFT_FRESH_S)
+                await trio.sleep(AVAILABILITY_TTL_S)
                 self.assertGreater(vms["b-1"].part.level, 1.0)
 
     @on_mock_clock
@@ -105,7 +105,7 @@
                 answers.append(await lending.take(name))
 
             for name in (SLOW.name, other.name):
-                part = vms["a-1"].holdings.rate(name)
+                part = vms["a-1"].holdings.rate_part(name)
                 part.try_take(part.available())
             self.pause_for(fleet, 0.18)
             async with trio.open_nursery() as nursery:
@@ -133,7 +133,7 @@
             await self.spend_own(vms["a-1"])
             self.pause_for(fleet, 0.3)
             self.assertFalse(await vms["a-1"].lending.take(SLOW.name))
-            await trio.sleep(DRY_MAX_S)
+            await trio.sleep(BACKOFF_MAX_S)
             self.assertTrue(await vms["a-1"].lending.take(SLOW.name))
 
     @on_mock_clock
@@ -146,8 +146,8 @@
             self.slow_for(fleet, 60.0)
             lending = vms["a-1"].lending
             self.assertFalse(await lending.take(SLOW.name))
-            self.assertLessEqual(lending.rounds, LATE_ROUNDS)
-            await trio.sleep(DRY_MAX_S)
+            self.assertLessEqual(lending.rounds, MAX_ROUNDS_IF_LATE)
+            await trio.sleep(BACKOFF_MAX_S)
             asked = lending.network.sent["loan_request"]
             self.assertFalse(await lending.take(SLOW.name))
             self.assertEqual(lending.network.sent["loan_request"], asked)
@@ -180,7 +180,7 @@
             lending = vms["a-1"].lending
             lending.rounds = 0
             self.assertFalse(await lending.take(SLOW.name))
-            self.assertLessEqual(lending.rounds, LATE_ROUNDS)
+            self.assertLessEqual(lending.rounds, MAX_ROUNDS_IF_LATE)
 
 
 class TestMovedParts(unittest.TestCase):
@@ -223,7 +223,7 @@
             self.assertTrue(await asker.lending.take(SLOW.name))
             self.add(taker, version, moved)
             self.assertGreaterEqual(taker.part.level, 1.0)
-            await trio.sleep(LEFT_FRESH_S / 5)
+            await trio.sleep(AVAILABILITY_TTL_S / 5)
             self.assertTrue(await asker.lending.take(SLOW.name))
 
 
@@ -262,8 +262,8 @@
         part = RatePart(SLOW)
         part.set_units(RATE_UNITS, SLOW.burst)
         part.lend(3.0, "loan")
-        part.take_back("loan")
-        part.take_back("loan")
+        part.reclaim_loan("loan")
+        part.reclaim_loan("loan")
         self.assertAlmostEqual(part.level, SLOW.burst)
         self.assertAlmostEqual(part.capacity, SLOW.burst)
 
@@ -274,7 +274,7 @@
         part.set_units(RATE_UNITS, SLOW.burst)
         part.lend(3.0, "loan")
         await trio.sleep(LOAN_HELD_S)
-        part.take_back("loan")
+        part.reclaim_loan("loan")
         self.assertLessEqual(part.level, SLOW.burst - 3.0 + SLOW.rate * LOAN_HELD_S)
 
     @on_mock_clock
@@ -284,7 +284,7 @@
         part.receive_loan(1.5, trio.current_time(), "begun", "b-1")
         part.receive_loan(0.5, trio.current_time(), "unused", "b-1")
         self.assertTrue(part.try_take())
-        self.assertEqual([loan.grant for loan in part.give_up_loans()], ["unused"])
+        self.assertEqual([loan.grant for loan in part.drop_unused_loans()], ["unused"])
         self.assertAlmostEqual(part.available(), 0.5)
 
     @on_mock_clock
@@ -298,7 +298,7 @@
             lending = vms["a-1"].lending
             self.assertFalse(await lending.take(SLOW.name))
             asked = lending.network.sent["loan_request"]
-            await trio.sleep(DRY_MAX_S)
+            await trio.sleep(BACKOFF_MAX_S)
             self.assertFalse(await lending.take(SLOW.name))
             self.assertEqual(lending.network.sent["loan_request"], asked)
 
--- a/tests/coordination/test_removed_budgets.py
+++ b/tests/coordination/test_removed_budgets.py
@@ -31,7 +31,7 @@
         fleet = PartsFleet(TWO_VMS, specs=[SLOW])
         async with fleet.running() as vms:
             await trio.sleep(SETTLE_S)
-            part = vms["a-1"].holdings.rate(SLOW.name)
+            part = vms["a-1"].holdings.rate_part(SLOW.name)
             while part.try_take():
                 pass
             fleet.network.delay = lambda sender, receiver: 0.02
@@ -57,7 +57,7 @@
         async with fleet.running() as vms:
             await trio.sleep(SETTLE_S)
             holdings = vms["a-1"].holdings
-            part = holdings.rate(QUICK.name)
+            part = holdings.rate_part(QUICK.name)
             while part.try_take():
                 pass
             admitted = []
@@ -85,7 +85,7 @@
             async def ask():
                 for _ in range(400):
                     if WORKSPACE.name in vms["b-1"].holdings.parts:
-                        vms["b-1"].holdings.rate(WORKSPACE.name).demand.add(1)
+                        vms["b-1"].holdings.rate_part(WORKSPACE.name).demand.add(1)
                     await trio.sleep(0.02)
 
             async def remove():
@@ -100,16 +100,16 @@
                 )
                 seen = []
                 for r in holder.rebalancers.values():
-                    original = r._collect
+                    original = r._request_reductions
 
-                    async def collect(falls, *more, original=original):
-                        if falls and not seen:
-                            seen.append(falls)
+                    async def request_reductions(reductions, *more, original=original):
+                        if reductions and not seen:
+                            seen.append(reductions)
                             # As a document that comes into force meanwhile.
                             holder.holdings.set_specs([])
-                        return await original(falls, *more)
+                        return await original(reductions, *more)
 
-                    r._collect = collect
+                    r._request_reductions = request_reductions
                 await trio.sleep(10)
                 self.assertTrue(seen)
                 for r in holder.rebalancers.values():
