--- a/packages/coordination/plantainshed_coordination/count_part.py
+++ b/packages/coordination/plantainshed_coordination/count_part.py
@@ -26,7 +26,7 @@
         self.total = spec.count
         self.in_use = 0
         self.lent: dict[str, tuple[str, int]] = {}
-        self.lent_alone: set[str] = set()
+        self.exclusive_loans: set[str] = set()
         self.returned: dict[str, float] = {}
         self.peak = 0.0
         self.denied = DemandMeter()
@@ -73,7 +73,7 @@
     def reclaim_loan(self, grant: str):
         """End a loan. It is remembered for a while, as its request may be late."""
         self.lent.pop(grant, None)
-        self.lent_alone.discard(grant)
+        self.exclusive_loans.discard(grant)
         now = trio.current_time()
         self.returned[grant] = now
         for old in [g for g, at in self.returned.items() if now - at > 30.0]:
--- a/packages/coordination/plantainshed_coordination/holdings.py
+++ b/packages/coordination/plantainshed_coordination/holdings.py
@@ -248,7 +248,7 @@
         if not part.lend(message.grant, borrower):
             return LoanGrant()
         if message.alone:
-            part.lent_alone.add(message.grant)
+            part.exclusive_loans.add(message.grant)
         return LoanGrant(amount=1, grant=message.grant, budget=name, left=part.free)
 
     async def _on_loan_return(self, sender, message: LoanReturn):
--- a/packages/entry/plantainshed_entry/targets.py
+++ b/packages/entry/plantainshed_entry/targets.py
@@ -96,7 +96,7 @@
     @property
     def runs_marked(self) -> bool:
         """Whether a request runs in it that a target has died of, perhaps."""
-        lent_alone = self.part is not None and bool(self.part.lent_alone)
+        lent_alone = self.part is not None and bool(self.part.exclusive_loans)
         return self.marked_in_flight > 0 or lent_alone
 
     @property
