--- a/packages/coordination/plantainshed_coordination/holdings.py
+++ b/packages/coordination/plantainshed_coordination/holdings.py
@@ -261,7 +261,7 @@
                 part.reclaim_loan(message.grant)
         return Ack()
 
-    def end_loans_to_gone(self, is_gone: Callable[[str, int], bool]):
+    def reclaim_loans_of_ended_runs(self, is_gone: Callable[[str, int], bool]):
         """Take back what was lent to runs that are certain to be over."""
         for part in self.parts.values():
             if isinstance(part, CountPart):
--- a/packages/entry/plantainshed_entry/node.py
+++ b/packages/entry/plantainshed_entry/node.py
@@ -174,7 +174,7 @@
     async def _upkeep(self):
         while True:
             await trio.sleep(UPKEEP_S)
-            self.holdings.end_loans_to_gone(self.membership.table.is_gone)
+            self.holdings.reclaim_loans_of_ended_runs(self.membership.table.is_gone)
             self.lookup.forget()
             self._note_outside()
             self.facts.observe(self.follower.store_heard_at, self.follower.is_watching)
