--- a/packages/coordination/plantainshed_coordination/lending.py
+++ b/packages/coordination/plantainshed_coordination/lending.py
@@ -91,11 +91,11 @@
         self._waiters: dict[str, list[Waiter]] = {}
         self._backoffs: dict[str, Backoff] = {}
         self._grant_numbers = itertools.count(1)
-        self.counts = CountLoans(network, membership, self._next_grant_id)
+        self.count_loans = CountLoans(network, membership, self._next_grant_id)
 
     async def run(self):
         """Return borrowed counts until cancelled."""
-        await self.counts.run()
+        await self.count_loans.run()
 
     async def take(self, name: str) -> bool:
         """Take one token of a rate budget, borrowing it if need be.
--- a/packages/entry/plantainshed_entry/routing.py
+++ b/packages/entry/plantainshed_entry/routing.py
@@ -165,20 +165,20 @@
         live = [v for v in self.membership.live_in_domain(failure_domain) if v != own]
         lenders = rendezvous_order(str(next(self._asked)), live)[:LENDERS_ASKED]
         group = POOL_PREFIX + call.pool.name
-        loan = await self.lending.counts.borrow(group, lenders, alone)
+        loan = await self.lending.count_loans.borrow(group, lenders, alone)
         if loan is None:
             self._full_until[key] = trio.current_time() + FULL_FOR_S
             return None
         name = loan.budget.removeprefix(SLOTS_PREFIX)
         state = self.targets.states.get(name)
         if state is None or name in excluded:
-            self.lending.counts.give_back(loan)
+            self.lending.count_loans.give_back(loan)
             return None
         return Slot(state, loan)
 
     def _give_back(self, slot: Slot):
         if slot.loan is not None:
-            self.lending.counts.give_back(slot.loan)
+            self.lending.count_loans.give_back(slot.loan)
         elif slot.state.part is not None:
             slot.state.part.give_back()
         queue = self.queues.get(slot.state.pool.name)
