--- a/packages/coordination/plantainshed_coordination/count_part.py
+++ b/packages/coordination/plantainshed_coordination/count_part.py
@@ -56,7 +56,7 @@
         self.peak = max(self.peak, float(self.in_use + len(self.lent)))
         return True
 
-    def give_back(self):
+    def release(self):
         """Return one that was taken."""
         self.in_use -= 1
 
--- a/packages/entry/plantainshed_entry/routing.py
+++ b/packages/entry/plantainshed_entry/routing.py
@@ -180,7 +180,7 @@
         if slot.loan is not None:
             self.lending.count_loans.give_back(slot.loan)
         elif slot.state.part is not None:
-            slot.state.part.give_back()
+            slot.state.part.release()
         queue = self.queues.get(slot.state.pool.name)
         if queue is not None:
             queue.wake_next()
