--- a/packages/coordination/plantainshed_coordination/count_loans.py
+++ b/packages/coordination/plantainshed_coordination/count_loans.py
@@ -87,13 +87,13 @@
             except PeerError:
                 # The lender may have lent it all the same. It is told that
                 # nobody uses the loan, or it would miss that one for good.
-                self.give_back(BorrowedCount(vm, incarnation, "", grant_id))
+                self.return_loan(BorrowedCount(vm, incarnation, "", grant_id))
                 continue
             if grant.amount >= 1:
                 return BorrowedCount(vm, incarnation, grant.budget, grant_id)
         return None
 
-    def give_back(self, loan: BorrowedCount):
+    def return_loan(self, loan: BorrowedCount):
         """Return a borrowed count; goes on in the background until confirmed."""
         self._return_queue.send_nowait(loan)
 
--- a/packages/entry/plantainshed_entry/routing.py
+++ b/packages/entry/plantainshed_entry/routing.py
@@ -172,13 +172,13 @@
         name = loan.budget.removeprefix(SLOTS_PREFIX)
         state = self.targets.states.get(name)
         if state is None or name in excluded:
-            self.lending.count_loans.give_back(loan)
+            self.lending.count_loans.return_loan(loan)
             return None
         return Slot(state, loan)
 
     def _give_back(self, slot: Slot):
         if slot.loan is not None:
-            self.lending.count_loans.give_back(slot.loan)
+            self.lending.count_loans.return_loan(slot.loan)
         elif slot.state.part is not None:
             slot.state.part.release()
         queue = self.queues.get(slot.state.pool.name)
