--- a/packages/coordination/plantainshed_coordination/count_loans.py
+++ b/packages/coordination/plantainshed_coordination/count_loans.py
@@ -1,4 +1,4 @@
-"""One of a count, borrowed from another VM for as long as it is used."""
+"""Borrowing slots of count budgets from other VMs while they are in use."""
 
 from collections.abc import Callable
 
@@ -16,17 +16,17 @@
 
 @frozen
 class BorrowedCount:
-    """One of a count, borrowed from a lender until it is returned.
+    """A slot of a count budget, borrowed until it is returned.
 
     Parameters
     ----------
     lender : str
-        VM that lent it.
+        VM that lent the slot.
     lender_incarnation : int
     budget : str
-        Count budget that it is one of.
+        Count budget of the slot.
     grant : str
-        Name of the loan.
+        Identifier of the loan.
     """
 
     lender: str
@@ -36,14 +36,14 @@
 
 
 class CountLoans:
-    """Borrows from counts of other VMs, and returns what it borrowed.
+    """Borrows slots of count budgets from other VMs and returns them.
 
     Parameters
     ----------
     network : PeerNetwork
     membership : Membership
-    next_grant : callable
-        Returns a name for a loan, another one each time.
+    next_grant_id : callable
+        Returns a new, unique loan identifier on each call.
     """
 
     def __init__(
@@ -60,7 +60,7 @@
         )
 
     async def run(self):
-        """Return borrowed counts until cancelled."""
+        """Return borrowed slots to their lenders until cancelled."""
         async with trio.open_nursery() as nursery:
             while True:
                 loan = await self._pending_returns.receive()
@@ -69,9 +69,9 @@
     async def borrow(
         self, group: str, lenders: list[str], alone: bool = False
     ) -> BorrowedCount | None:
-        """Borrow one of a group of counts from the first lender that has one.
+        """Borrow a slot from a group of count budgets, trying lenders in order.
 
-        With ``alone``, one that no other loan of this kind is using.
+        With ``alone``, the slot's target must not serve another such request.
         """
         for vm in lenders:
             grant_id = self.next_grant_id()
@@ -85,8 +85,8 @@
                     vm, "loan_request", request, LOAN_TIMEOUT_S
                 )
             except PeerError:
-                # The lender may have lent it all the same. It is told that
-                # nobody uses the loan, or it would miss that one for good.
+                # The lender may have lent the slot although no answer arrived.
+                # Return the loan, or the slot would be lost permanently.
                 self.return_loan(BorrowedCount(vm, incarnation, "", grant_id))
                 continue
             if grant.amount >= 1:
@@ -94,7 +94,7 @@
         return None
 
     def return_loan(self, loan: BorrowedCount):
-        """Return a borrowed count; goes on in the background until confirmed."""
+        """Return a borrowed slot; retried in the background until confirmed."""
         self._return_queue.send_nowait(loan)
 
     async def _return(self, loan: BorrowedCount):
--- a/packages/coordination/plantainshed_coordination/count_part.py
+++ b/packages/coordination/plantainshed_coordination/count_part.py
@@ -1,4 +1,4 @@
-"""One VM's part of a number of things that may be in use at a time."""
+"""One VM's part of a count budget, which limits the slots in use at a time."""
 
 import trio
 
@@ -6,18 +6,18 @@
 
 
 class CountPart:
-    """This VM's part of a number of things that may be in use at a time.
+    """This VM's part of a count budget, which limits the slots in use at a time.
 
     Attributes
     ----------
     spec : BudgetSpec
     units : int
-        How many this VM may have in use or on loan.
+        Number of slots that this VM may use or lend.
     in_use : int
     lent : dict of str to tuple of (str, int)
-        Loans by grant: the borrower's run, as VM and incarnation.
-    lent_alone : set of str
-        Grants for requests that must not meet another such request.
+        Borrower of each loan by grant, as VM and incarnation.
+    exclusive_loans : set of str
+        Grants for requests that must not share a target with another such request.
     """
 
     def __init__(self, spec: BudgetSpec):
@@ -33,10 +33,10 @@
 
     @property
     def usable(self) -> int:
-        """How many may be in use now.
+        """Number of slots that may be in use now.
 
-        When the document lowers the count, each holder scales its own part
-        down at once; parts rounded down still sum to no more than the whole.
+        When the document lowers the count, each holder immediately scales its own
+        part down. As the parts are rounded down, they sum to at most the new count.
         """
         if self.total <= self.spec.count:
             return self.units
@@ -44,11 +44,11 @@
 
     @property
     def free(self) -> int:
-        """How many are left."""
+        """Number of slots that are neither in use nor on loan."""
         return self.usable - self.in_use - len(self.lent)
 
     def try_take(self) -> bool:
-        """Take one if one is left."""
+        """Take a slot if one is free."""
         if self.free <= 0:
             self.denied.add(1)
             return False
@@ -57,11 +57,11 @@
         return True
 
     def release(self):
-        """Return one that was taken."""
+        """Release a slot that was taken."""
         self.in_use -= 1
 
     def lend(self, grant: str, borrower: tuple[str, int]) -> bool:
-        """Lend one; a repeat of the same grant lends no second one."""
+        """Lend a slot; repeating a grant does not lend a second one."""
         if grant in self.lent:
             return True
         if grant in self.returned or self.free <= 0:
@@ -71,7 +71,7 @@
         return True
 
     def reclaim_loan(self, grant: str):
-        """End a loan. It is remembered for a while, as its request may be late."""
+        """End a loan and remember its grant, as a copy of the request may come late."""
         self.lent.pop(grant, None)
         self.exclusive_loans.discard(grant)
         now = trio.current_time()
@@ -80,31 +80,31 @@
             del self.returned[old]
 
     def reclaim_from_ended_runs(self, is_gone):
-        """End the loans of runs that are certain to be over."""
+        """End the loans to VM runs that have certainly ended."""
         for grant in [g for g, run in self.lent.items() if is_gone(*run)]:
             self.reclaim_loan(grant)
 
     def set_units(self, units: int, total: int | None = None):
-        """Change the part. ``total`` is the whole that it is a part of."""
+        """Change the part. ``total`` is the count that was divided."""
         self.units = units
         self.total = self.spec.count if total is None else total
 
     def set_spec(self, spec: BudgetSpec):
-        """Take over another count."""
+        """Change the count of the budget."""
         self.spec = spec
 
     def lower_to(self, units: int) -> LowerResult:
-        """Give up what is asked as far as it is not in use."""
+        """Lower the part to ``units``, but not below the slots in use or on loan."""
         occupied = self.in_use + len(self.lent)
         self.units = min(self.units, max(units, occupied))
         return LowerResult(self.units)
 
     def restore(self, units: int, level: float):
-        """Take back what `lower_to` gave up."""
+        """Undo `lower_to`. ``level`` is ignored, as slots are not tokens."""
         self.units = units
 
     def estimate_demand(self) -> float:
-        """Return how many this VM's callers could use; forgets old peaks."""
+        """Return the number of slots that this VM could use, and decay the peak."""
         occupied = float(self.in_use + len(self.lent))
         demand = max(self.peak, occupied) + self.denied.read()
         self.peak = max(occupied, self.peak * 0.7)
--- a/packages/coordination/plantainshed_coordination/holdings.py
+++ b/packages/coordination/plantainshed_coordination/holdings.py
@@ -1,4 +1,4 @@
-"""The parts that this VM holds, and the messages that change them."""
+"""This VM's parts of all budgets, and the handlers of messages that change them."""
 
 from collections.abc import Callable, Iterable
 
@@ -30,15 +30,15 @@
 
 @define
 class PendingReduction:
-    """What this VM gave up for a version that is about to be written.
+    """Parts that this VM lowered for a ledger version that is not written yet.
 
     Parameters
     ----------
     mark : str
-        The attempt that asked.
-    units : dict of str to int
-        Units held before, by budget.
-    levels : dict of str to float
+        Identifier of the rebalancing attempt that requested the reduction.
+    previous_units : dict of str to int
+        Units held before the reduction, by budget.
+    released_tokens : dict of str to float
         Tokens given up, by budget.
     """
 
@@ -48,23 +48,25 @@
 
 
 class Holdings:
-    """All parts of this VM, by budget.
+    """This VM's parts of all budgets.
 
     Parameters
     ----------
     network : PeerNetwork
     is_awake : callable
-        Whether this run may act; see `Membership.is_awake`.
+        Returns whether this run may act; see `Membership.is_awake`.
 
     Attributes
     ----------
     parts : dict of str to RatePart or CountPart
+        By budget.
     known_version : dict of str to int
-        Newest ledger version that was seen of each shard. What an older one
-        says is not believed any more.
+        Newest known ledger version of each shard. Messages with older versions are
+        ignored.
     choose_from_group : callable
-        Returns the count budget to lend from for a group's name, or None; its
-        second argument says whether the request must be alone there.
+        Takes the name of a group of count budgets and returns the budget to lend
+        from, or None. The second argument is whether the borrower's request must
+        not share a target with another such request.
     """
 
     def __init__(self, network: PeerNetwork, is_awake: Callable[[], bool]):
@@ -84,7 +86,7 @@
         network.handlers["set_parts"] = self._on_set_parts
 
     def set_specs(self, specs: Iterable[BudgetSpec]):
-        """Take over the budgets of the document in force."""
+        """Replace the budgets by those of the document in force."""
         wanted = {spec.name: spec for spec in specs}
         for name in self.parts.keys() - wanted.keys():
             del self.parts[name]
@@ -106,26 +108,27 @@
         return part if isinstance(part, CountPart) else None
 
     def is_current(self, part: AnyPart) -> bool:
-        """Tell whether a part is still one of this VM's.
+        """Return whether a part is still in use.
 
-        Whoever kept a part over an await asks: a document can have taken its
-        budget away, and given back one of the same name whose parts start anew.
-        Tokens of the old part would then be used beside those of the new ones.
+        Callers must check this after an await. Meanwhile a new document may have
+        removed the budget, or removed it and added one of the same name with new
+        parts. The tokens of the old part would then be used in addition to those of
+        the new one.
         """
         return self.parts.get(part.spec.name) is part
 
     def shards(self) -> list[str]:
-        """Return the shards that this VM's budgets stand in."""
+        """Return the ledger shards that contain this VM's budgets."""
         return sorted({shard_of(part.spec) for part in self.parts.values()})
 
     def leave(self):
-        """Give up every part, as far as it is not in use, for good."""
+        """Give up every part permanently, except for the units in use."""
         self.leaving = True
         for part in self.parts.values():
             part.lower_to(0)
 
     def report(self, shard: str, failure_domain: str) -> DemandReport:
-        """Return what this VM wants and holds of a shard."""
+        """Return this VM's demand and parts for the budgets of a shard."""
         report = DemandReport(
             shard=shard,
             ledger_version=self.known_version.get(shard, 0),
@@ -145,16 +148,16 @@
         return report
 
     def apply(self, message: SetParts):
-        """Take over the parts that a ledger version gives this VM."""
+        """Apply the parts that a ledger version assigns to this VM."""
         version = message.version
         if message.rebalancer:
             self.rebalancer_by_shard[message.shard] = message.rebalancer
         if self.leaving:
-            # Everything was given up; what is on its way still was sent before.
+            # Every part was given up; this message was sent before that.
             return
         if version == 0 or version < self.known_version.get(message.shard, 0):
-            # Late: a newer version, or a promise to a newer one, stands.
-            # Believing it would raise a part that was already given up.
+            # The message is outdated: this VM has applied a newer version or lowered
+            # its parts for one. Applying it would raise a part already given up.
             return
         self._pending_reductions.pop(message.shard, None)
         is_new_version = version > self.applied_version.get(message.shard, 0)
@@ -173,8 +176,7 @@
         if part.spec.kind is BudgetKind.COUNT:
             part.set_units(assigned.units, total=assigned.total)
         else:
-            # Tokens that come with a version are added once, however often the
-            # message arrives.
+            # Add the tokens of a version only once, even if the message is repeated.
             part.set_units(assigned.units, assigned.level if is_new_version else 0.0)
 
     async def _on_set_parts(self, sender, message: SetParts):
@@ -185,9 +187,9 @@
         return self.lower(message)
 
     def lower(self, message: LowerParts) -> PartsLowered:
-        """Give up parts for a ledger version that is about to be written.
+        """Lower parts for a ledger version that is about to be written.
 
-        From then on only that version, or a newer one, can raise them.
+        After that, only this version or a newer one can raise them.
         """
         applied = self.applied_version.get(message.shard, 0)
         known = self.known_version.get(message.shard, 0)
@@ -216,10 +218,10 @@
         return Ack()
 
     def restore(self, message: RestoreParts):
-        """Take back what was given up for a version that will not be written.
+        """Undo a reduction for a ledger version that will not be written.
 
-        Only the very attempt that this VM answered last can be taken back: if
-        another rebalancer asked since, what was given up is promised to it.
+        Only the reduction of the latest attempt that this VM answered can be undone:
+        if another rebalancer has sent a request since, the units are promised to it.
         """
         pending = self._pending_reductions.pop(message.shard, None)
         if pending is None or pending.mark != message.mark or self.leaving:
@@ -252,7 +254,7 @@
         return LoanGrant(amount=1, grant=message.grant, budget=name, left=part.free)
 
     async def _on_loan_return(self, sender, message: LoanReturn):
-        # A borrower that never saw the answer cannot name the budget.
+        # A borrower that did not receive the answer does not know the budget's name.
         parts = [self.parts.get(message.budget)]
         if not message.budget:
             parts = list(self.parts.values())
@@ -262,7 +264,7 @@
         return Ack()
 
     def reclaim_loans_of_ended_runs(self, is_gone: Callable[[str, int], bool]):
-        """Take back what was lent to runs that are certain to be over."""
+        """Reclaim loans to VM runs that have certainly ended."""
         for part in self.parts.values():
             if isinstance(part, CountPart):
                 part.reclaim_from_ended_runs(is_gone)
--- a/packages/coordination/plantainshed_coordination/lenders.py
+++ b/packages/coordination/plantainshed_coordination/lenders.py
@@ -1,4 +1,4 @@
-"""What is known of the VMs that may lend tokens: what they have left, and silence."""
+"""Tracking of potential lenders: available tokens and unanswered requests."""
 
 import math
 
@@ -11,26 +11,28 @@
 
 MIN_LOAN = 1e-3
 AVAILABILITY_TTL_S = 0.5
-# A VM that did not answer in time is asked again unless it failed before within
-# this time and has not answered since; one that is gone is then left out by
-# membership.
+# Failures further apart than this are counted separately, so a VM that did not answer
+# in time is asked again unless it also failed within this time and has not answered
+# since. Membership excludes VMs that are gone.
 FAILURE_WINDOW_S = 2.0
-# Questions in a row without an answer after which a VM counts as having nothing for
-# a while. One whose answers come late is alive, and may soon be in time again.
+# Consecutive unanswered requests after which a VM is assumed to have no tokens for a
+# while. A VM that answers late is alive and may soon answer in time again, so it gets
+# more tries than a silent one.
 MAX_TRIES_IF_SILENT = 2
 MAX_TRIES_IF_LATE = 4
 
 
 @frozen
 class ReportedAvailability:
-    """What a lender said that it had left, and when.
+    """The number of available tokens that a lender last reported.
 
     Parameters
     ----------
     amount : float
-    at : float
-    is_silence : bool
-        Whether it said nothing, so that it is not worth asking for a while.
+    received_at : float
+    is_unresponsive : bool
+        Whether the lender did not answer. The entry then only keeps it from being
+        asked for a while.
     """
 
     amount: float
@@ -40,15 +42,15 @@
 
 @define
 class FailedRequests:
-    """Questions in a row that a VM did not answer in time.
+    """Consecutive requests that a VM did not answer in time.
 
     Attributes
     ----------
     count : int
-    last_at : float
-        When the last of them was given up.
-    has_answered : bool
-        Whether an answer came, though too late to be used.
+    last_failed_at : float
+        When the most recent request timed out.
+    has_answered_late : bool
+        Whether an answer arrived after its request had timed out.
     """
 
     count: int = 0
@@ -56,29 +58,29 @@
     has_answered_late: bool = False
 
     def record(self, asked_at: float):
-        """Count a question that is given up now.
+        """Count a request that has just timed out.
 
-        Several that were under way at once, for different budgets, show only once
-        that the VM does not answer.
+        Requests for different budgets that were pending at the same time count as
+        one failure.
         """
         if asked_at >= self.last_failed_at:
             self.count += 1
             self.last_failed_at = trio.current_time()
 
     def is_exhausted(self) -> bool:
-        """Tell whether the VM is not to be asked again for a while."""
+        """Return whether to stop asking the VM for a while."""
         return self.count >= (
             MAX_TRIES_IF_LATE if self.has_answered_late else MAX_TRIES_IF_SILENT
         )
 
 
 class Lenders:
-    """What other VMs said that they have left, and which of them do not answer.
+    """Tracks the available tokens of other VMs and which VMs do not answer.
 
     Parameters
     ----------
     network : PeerNetwork
-        Tells of answers that come late.
+        Reports answers that arrive late.
     membership : Membership
     """
 
@@ -89,17 +91,17 @@
         network.late_answer_handlers["loan_grant"] = self._on_late_answer
 
     def peer_vms(self) -> list[str]:
-        """Return the other VMs that may be asked."""
+        """Return the usable VMs other than this one."""
         own = self.membership.identity.vm
         return [vm for vm in self.membership.usable_vms() if vm != own]
 
     def is_in_own_domain(self, vm: str) -> bool:
-        """Tell whether a VM is in this VM's failure domain."""
+        """Return whether a VM is in this VM's failure domain."""
         own = self.membership.identity.failure_domain
         return self.membership.failure_domain_of(vm) == own
 
     def available_by_vm(self, name: str) -> dict[str, float]:
-        """Return what VMs said lately that they have left."""
+        """Return the recently reported available tokens by VM."""
         available = {}
         for vm in self.peer_vms():
             amount = self._available_at(name, vm)
@@ -108,7 +110,7 @@
         return available
 
     def _available_at(self, name: str, vm: str) -> float | None:
-        """Return what a VM said lately that it has left; None if it is not known."""
+        """Return a VM's recently reported available tokens, None if unknown."""
         reported = self._reported.get((name, vm))
         if (
             reported is None
@@ -120,10 +122,11 @@
     def possibly_outdated(
         self, name: str, available: dict[str, float], since: float
     ) -> list[str]:
-        """Return VMs whose word is older than a round that began at a time.
+        """Return the VMs whose last report is older than ``since``.
 
-        It tells whom to borrow from, but not that nobody has any: what a VM
-        lacked then, refills or a moved part may have brought it since.
+        An older report is good enough to choose a lender, but does not prove that a
+        VM still has no tokens: it may have got some since by a refill or by a part
+        that was moved to it. VMs that do not answer are left out.
         """
         reported = {vm: self._reported[name, vm] for vm in available}
         return [
@@ -133,13 +136,13 @@
         ]
 
     def is_enough(self, available: dict[str, float], missing: float) -> bool:
-        """Tell whether known tokens would serve a request."""
+        """Return whether the available tokens suffice for at least one request."""
         return sum(available.values()) + ROUNDING_TOLERANCE >= min(missing, WHOLE_TOKEN)
 
     def plan_loans(
         self, name: str, missing: float, prefetch: float
     ) -> dict[str, float]:
-        """Return how much to borrow from whom; nothing if it would not do."""
+        """Return the amount to borrow by VM; empty if it would not be sufficient."""
         available = self.available_by_vm(name)
         if not self.is_enough(available, missing):
             return {}
@@ -154,12 +157,12 @@
         return plan
 
     def record_availability(self, vm: str, name: str, amount: float):
-        """Note what a VM says that it has left."""
+        """Record the available tokens that a VM reports."""
         self._failures.pop(vm, None)
         self._reported[name, vm] = ReportedAvailability(amount, trio.current_time())
 
     def record_timeout(self, vm: str, name: str, asked_at: float) -> bool:
-        """Note a question that is given up now; tell whether to ask the VM again."""
+        """Record a request that has just timed out; return whether to retry the VM."""
         now = trio.current_time()
         failures = self._failures.get(vm)
         if failures is None or now - failures.last_failed_at > FAILURE_WINDOW_S:
@@ -174,7 +177,7 @@
         return True
 
     def _on_late_answer(self, vm: str):
-        """Have a VM asked again that was taken for silent, as it is not."""
+        """Allow requests again to a VM that was marked as unresponsive."""
         failures = self._failures.get(vm)
         if failures is None:
             return
--- a/packages/coordination/plantainshed_coordination/lending.py
+++ b/packages/coordination/plantainshed_coordination/lending.py
@@ -1,7 +1,8 @@
-"""Borrowing between VMs: what makes many parts work as one whole.
+"""Borrowing of budget tokens between VMs.
 
-A VM that has run out asks others before it refuses. It needs neither the store
-nor a rebalancer for that, so it goes on working through an outage.
+A VM that has no tokens left asks other VMs for a loan before it refuses a request,
+so that the parts of all VMs act as one budget. Borrowing needs neither the store nor
+a rebalancer and therefore keeps working while either is down.
 """
 
 import itertools
@@ -27,56 +28,56 @@
 PREFETCH_S = 0.05
 MAX_REFILL_WAIT_S = 0.05
 MAX_ROUNDS = 2
-# Rounds if a loan came later than it can be used. A busy machine answers within
-# 0.1 to 0.2 s; four rounds hold a request for half a second at most.
+# Maximum number of rounds if a loan arrived after it had expired. A busy machine
+# answers within 0.1 to 0.2 s; four rounds delay a request by at most half a second.
 MAX_ROUNDS_IF_LATE = MAX_TRIES_IF_LATE
 
 
 @define
 class BorrowRound:
-    """One round of questions, on which several requests may wait.
+    """One round of loan requests to peers, shared by all requests that wait for it.
 
     Attributes
     ----------
-    began_at : float
-    ended : trio.Event
-    is_late : bool
-        Whether an answer came too late to be used, or never. The round then
-        does not show that nobody has any tokens.
-    has_served : bool
+    started_at : float
+    finished : trio.Event
+    is_inconclusive : bool
+        Whether an answer was missing or arrived too late to be used. Such a round
+        does not prove that no peer has tokens.
+    served_any : bool
         Whether a request got a token.
     """
 
     started_at: float = field(factory=trio.current_time)
     finished: trio.Event = field(factory=trio.Event)
-    had_late_answer: bool = False
+    is_inconclusive: bool = False
     served_any: bool = False
 
 
 @define(eq=False)
 class Waiter:
-    """A request that waits for a token."""
+    """A request that is waiting for a token."""
 
     is_served: bool = False
 
 
 @frozen
 class Backoff:
-    """A time in which peers are not asked, as none had anything to lend."""
+    """A period without loan requests, because no peer had tokens to lend."""
 
     duration_s: float
     ends_at: float
 
 
 class Lending:
-    """Takes from this VM's parts, and borrows what they lack.
+    """Takes tokens from this VM's parts and borrows missing ones from peers.
 
     Attributes
     ----------
-    counts : CountLoans
+    count_loans : CountLoans
     lenders : Lenders
     rounds : int
-        How often peers were asked for tokens.
+        Number of rounds of loan requests so far.
     """
 
     def __init__(
@@ -94,23 +95,24 @@
         self.count_loans = CountLoans(network, membership, self._next_grant_id)
 
     async def run(self):
-        """Return borrowed counts until cancelled."""
+        """Return borrowed slots of count budgets until cancelled."""
         await self.count_loans.run()
 
     async def take(self, name: str) -> bool:
-        """Take one token of a rate budget, borrowing it if need be.
+        """Take one token of a rate budget, borrowing it if necessary.
 
-        False means that neither this VM nor those it could ask in time had
-        one, or that the budget is gone. The wait is one round trip or two,
-        never until a deadline.
+        Returns False if neither this VM nor the peers that answered in time had a
+        token, or if the budget no longer exists. The call waits for one or two round
+        trips, never until a deadline.
         """
         part = self.holdings.rate_part(name)
         if part is None:
             return False
         part.demand.add(1)
         waiters = self._waiters.setdefault(name, [])
-        # What the earlier ones wait for is theirs. Taken by whoever comes next,
-        # it would be borrowed in vain, and a round would seem to find nothing.
+        # Reserve tokens for requests that are already waiting. If a later request
+        # took a token that was borrowed for a waiter, the round would look as if it
+        # had found none.
         if part.try_take(reserve=len(waiters)):
             return True
         waiter = Waiter()
@@ -124,9 +126,9 @@
                     return False
                 if waiter.is_served:
                     return True
-                # Refusing on a late loan would turn away a workspace that is
-                # far below its rate, whenever a peer is busy for a moment.
-                if round_number >= MAX_ROUNDS and not latest.had_late_answer:
+                # Retry after a late loan. Otherwise a briefly busy peer would be
+                # enough to refuse a workspace that is far below its rate.
+                if round_number >= MAX_ROUNDS and not latest.is_inconclusive:
                     break
             return await self._wait_for_refill(part, waiter)
         finally:
@@ -143,7 +145,7 @@
         return waiter.is_served or part.try_take()
 
     def _serve_waiters(self, name: str, part: RatePart, borrow_round: BorrowRound):
-        """Give tokens at hand to those who wait, in the order they came."""
+        """Give available tokens to waiting requests, first come, first served."""
         if not self.holdings.is_current(part):
             return
         waiters = self._waiters[name]
@@ -189,12 +191,12 @@
         if borrow_round.served_any:
             self._backoffs.pop(name, None)
             return
-        if borrow_round.had_late_answer:
+        if borrow_round.is_inconclusive:
             return
         await self._return_unused_loans(name, part)
-        # Nobody has any. Asking again for each request of a workspace far
-        # above its rate would flood the peers and find nothing, so the pause
-        # doubles until something was found.
+        # No peer has tokens. Asking again for each request of a workspace far above
+        # its rate would flood the peers without result, so the backoff doubles until
+        # a round finds a token.
         previous = self._backoffs.get(name)
         duration = (
             min(BACKOFF_MAX_S, previous.duration_s * 2) if previous else BACKOFF_MIN_S
@@ -202,9 +204,10 @@
         self._backoffs[name] = Backoff(duration, trio.current_time() + duration)
 
     async def _return_unused_loans(self, name: str, part: RatePart):
-        """Return loans that make no whole token, or they would be lost.
+        """Return unused loans that do not add up to a whole token.
 
-        Several VMs that lack tokens at a time each get a fraction of the last.
+        When several VMs run out at the same time, each can borrow a fraction of the
+        last token. Without being returned, these fractions would be lost.
         """
         if part.seconds_until_available() <= MAX_REFILL_WAIT_S:
             return
@@ -215,10 +218,10 @@
     async def _query_availability(
         self, name: str, missing: float, borrow_round: BorrowRound
     ):
-        """Ask some VMs what they have left, unless enough is known of.
+        """Ask some VMs how many tokens they have, unless one is known to have enough.
 
-        Nothing is lent yet: tokens collected from several that turn out not to
-        make a whole one would be lost to everybody.
+        The queries borrow nothing: fractions collected from several VMs that turn out
+        not to add up to a whole token would be lost to every VM.
         """
         available = self.lenders.available_by_vm(name)
         if max(available.values(), default=0.0) >= missing:
@@ -243,12 +246,12 @@
         grant = self._next_grant_id()
         lent = await self._request_loan(vm, part.spec.name, amount, borrow_round, grant)
         if not self.holdings.is_current(part):
-            # An error here would end the process. What was lent for a budget
-            # that has gone lapses, as a loan does whose answer was lost.
+            # The budget was removed meanwhile; an error here would end the process.
+            # The loan expires unused, as it does when its answer is lost.
             return
         if lent and not part.receive_loan(lent, asked_at, grant, vm):
-            borrow_round.had_late_answer = True
-        # At once, as a loan can run out while other lenders are waited for.
+            borrow_round.is_inconclusive = True
+        # Use the loan immediately: it can expire while other lenders are pending.
         self._serve_waiters(part.spec.name, part, borrow_round)
 
     def _next_grant_id(self) -> str:
@@ -262,13 +265,13 @@
         borrow_round: BorrowRound,
         grant: str = "",
     ) -> float:
-        """Ask a VM for tokens; return what it lent, 0 if it did not answer."""
+        """Ask a VM for tokens; return the amount lent, 0 if it did not answer."""
         request = LoanRequest(budget=name, amount=amount, grant=grant)
         asked_at = trio.current_time()
         try:
             answer = await self.network.ask(vm, "loan_request", request, LOAN_TIMEOUT_S)
         except PeerError:
-            borrow_round.had_late_answer |= self.lenders.record_timeout(
+            borrow_round.is_inconclusive |= self.lenders.record_timeout(
                 vm, name, asked_at
             )
             return 0.0
--- a/packages/coordination/plantainshed_coordination/rate_part.py
+++ b/packages/coordination/plantainshed_coordination/rate_part.py
@@ -20,17 +20,17 @@
 class RatePart:
     """This VM's part of a token bucket.
 
-    For a share s of a bucket with rate r and burst b, the part is a bucket
-    with rate s*r and burst s*b. At any moment the levels of all parts, plus
-    what is on loan, are at most the level that one single bucket would have.
+    For a share s of a bucket with rate r and burst b, the part is a bucket with rate
+    s*r and burst s*b. At any time, the levels of all parts plus the tokens on loan
+    sum to at most the level of a single bucket for the whole budget.
 
     Attributes
     ----------
     spec : BudgetSpec
     units : int
-        Share of this VM, of `RATE_UNITS`.
+        Share of this VM, out of `RATE_UNITS`.
     level : float
-        Tokens at hand.
+        Available tokens, borrowed ones excluded.
     demand : DemandMeter
     """
 
@@ -50,7 +50,7 @@
 
     @property
     def capacity(self) -> float:
-        """Most tokens that may be at hand; what is on loan counts as used."""
+        """Maximum level; tokens on loan reduce it."""
         return max(0.0, self.spec.burst * self.share - self._lent_amount())
 
     def _lent_amount(self) -> float:
@@ -59,14 +59,14 @@
         return sum(loan.amount for loan in self._lent_loans)
 
     def refill(self):
-        """Bring the level up to now."""
+        """Add the tokens that have accrued since the last update."""
         now = trio.current_time()
         refilled = self.level + self.spec.rate * self.share * (now - self.updated_at)
         self.level = min(self.capacity, refilled)
         self.updated_at = now
 
     def try_take(self, amount: float = WHOLE_TOKEN, reserve: float = 0.0) -> bool:
-        """Take tokens if so many are left then, borrowed ones first."""
+        """Take tokens, borrowed ones first, if at least ``reserve`` remain."""
         self.refill()
         if self.available() + ROUNDING_TOLERANCE < amount + reserve:
             return False
@@ -80,7 +80,7 @@
         return True
 
     def available(self) -> float:
-        """Return the tokens at hand, borrowed ones included."""
+        """Return the number of available tokens, borrowed ones included."""
         now = trio.current_time()
         self._borrowed_loans = [
             loan
@@ -90,11 +90,11 @@
         return self.level + sum(loan.amount for loan in self._borrowed_loans)
 
     def lend(self, amount: float, grant: str = "") -> float:
-        """Give away up to so many tokens; return how many.
+        """Lend up to ``amount`` tokens; return the number lent.
 
-        The bucket stays smaller by as much until the borrower cannot use them
-        any more. Otherwise tokens that this part refills meanwhile would stand
-        beside those on their way, and both could be used at once.
+        The capacity is reduced by the same amount until the borrower can no longer
+        use the tokens. Otherwise this part could refill them meanwhile, and both the
+        lent and the refilled tokens could be used at once.
         """
         self.refill()
         lent = min(amount, self.level)
@@ -105,9 +105,9 @@
         return lent
 
     def reclaim_loan(self, grant: str):
-        """Have a loan's tokens again, of which the borrower used none.
+        """Take back the tokens of a loan that the borrower did not use.
 
-        One that is over already has made room for a refill, and counts no more.
+        A loan that has expired is ignored, as its tokens may have been refilled.
         """
         self.refill()
         for loan in self._lent_loans:
@@ -119,11 +119,11 @@
     def receive_loan(
         self, amount: float, asked_at: float, grant: str = "", lender: str = ""
     ) -> bool:
-        """Take in borrowed tokens; tell whether any of them can still be used.
+        """Add borrowed tokens; return whether they can still be used.
 
-        They are usable for a short while only, which begins before they were
-        asked for. A loan that comes late, or to a process that was paused
-        meanwhile, is worth nothing.
+        Borrowed tokens expire a short time after ``asked_at``, the time at which they
+        were requested. A loan that arrives late, or after the process was paused, is
+        worthless.
         """
         expires_at = asked_at + LOAN_USABLE_S
         if amount <= 0 or expires_at <= trio.current_time():
@@ -132,7 +132,7 @@
         return True
 
     def drop_unused_loans(self) -> list[Loan]:
-        """Give up borrowed tokens; return the loans of which none were used."""
+        """Remove and return the loans of which no tokens were used."""
         unused = [loan for loan in self._borrowed_loans if not loan.is_partly_used]
         self._borrowed_loans = [
             loan for loan in self._borrowed_loans if loan.is_partly_used
@@ -140,7 +140,7 @@
         return unused
 
     def seconds_until_available(self, amount: float = WHOLE_TOKEN) -> float:
-        """Return how long this part alone needs to have so many tokens."""
+        """Return the time until ``amount`` tokens are available without loans."""
         self.refill()
         missing = amount - self.available()
         if missing <= 0:
@@ -150,23 +150,23 @@
         return missing / (self.spec.rate * self.share)
 
     def set_units(self, units: int, level: float = 0.0):
-        """Change the part, and add the tokens that come with it."""
+        """Change the share and add ``level`` tokens."""
         self.refill()
         self.units = units
         self.level = min(self.capacity, self.level + level)
 
     def set_spec(self, spec: BudgetSpec):
-        """Take over another rate and burst; the share stays."""
+        """Change the rate and burst; the share stays the same."""
         self.refill()
         self.spec = spec
         self.level = min(self.level, self.capacity)
 
     def lower_to(self, units: int) -> LowerResult:
-        """Give up part of the share, and what the smaller bucket cannot hold.
+        """Lower the share and release the tokens above the new capacity.
 
-        What is on loan stays within this part until the loan is over. Given
-        up earlier, it would stand in the ledger as another VM's and still be
-        used by the borrower.
+        The share that covers tokens on loan is kept until the loan expires. If it
+        were given up earlier, the ledger could assign it to another VM while the
+        borrower still uses the tokens.
         """
         self.refill()
         lent = self._lent_amount()
@@ -179,9 +179,9 @@
         return LowerResult(units, before - self.level)
 
     def restore(self, units: int, level: float):
-        """Take back what `lower_to` gave up."""
+        """Undo `lower_to`: set the share back and add the released tokens."""
         self.set_units(units, level)
 
     def estimate_demand(self) -> float:
-        """Return how much this VM's callers ask for."""
+        """Return this VM's recent demand, in tokens per second."""
         return self.demand.read()
