--- a/packages/coordination/plantainshed_coordination/budgets.py
+++ b/packages/coordination/plantainshed_coordination/budgets.py
@@ -1,17 +1,16 @@
-"""A divisible budget: a whole that many VMs use together and never exceed.
-
-Each VM holds a part, counted in units. Two kinds exist. A *rate* budget is a
-token bucket of which a VM holds a share; a *count* budget is a number of
-things that may be in use at a time. The rules that keep the sum of all parts
-within the whole, whatever fails:
-
-- A part falls by its holder's own act, and rises only after the matching fall
-  was acknowledged and written to the ledger (`rebalancer`).
-- A loan leaves the lender before it is sent. A borrowed token that does not
-  arrive in time is lost, never doubled; one that is given back leaves the
-  borrower before it is sent.
-- A raised part gets no more tokens than the lowered ones gave up, or moving
-  parts would mint a burst.
+"""Budgets that many VMs share and never exceed together.
+
+Each VM holds a part of a budget, counted in units. There are two kinds of budgets: a
+*rate* budget is a token bucket, of which each VM holds a share; a *count* budget
+limits the number of slots in use at a time. The following rules ensure that the sum
+of all parts never exceeds the budget, whatever fails:
+
+- Only its holder can lower a part. A part is raised only after the matching
+  reduction was acknowledged and written to the ledger (`rebalancer`).
+- A lender subtracts a loan before sending it. A borrowed token that does not arrive in
+  time is lost, never duplicated. A borrower removes a token before returning it.
+- A raised part gets no more tokens than the lowered parts released. Otherwise moving
+  parts would create extra burst.
 """
 
 from enum import StrEnum
@@ -29,7 +28,7 @@
 
 
 class BudgetKind(StrEnum):
-    """How a budget is used up."""
+    """Whether a budget limits a rate or a number of slots in use."""
 
     RATE = "rate"
     COUNT = "count"
@@ -37,18 +36,18 @@
 
 @frozen
 class BudgetSpec:
-    """A budget as the document in force describes it.
+    """A budget as defined by the document in force.
 
     Parameters
     ----------
     name : str
     kind : BudgetKind
     rate, burst : float
-        Of a rate budget: tokens a second and at most at once.
+        Tokens per second and bucket size of a rate budget.
     count : int
-        Of a count budget.
+        Number of slots of a count budget.
     failure_domain : str
-        Domain whose VMs hold the parts; empty for all VMs.
+        Failure domain whose VMs hold the parts; empty for all VMs.
     """
 
     name: str
@@ -66,18 +65,18 @@
 
 @define
 class DemandMeter:
-    """How much was asked for lately, in tokens a second."""
+    """Estimates the recent demand, in tokens per second."""
 
     per_second: float = 0.0
     updated_at: float = field(factory=trio.current_time)
 
     def add(self, amount: float):
-        """Count something that was asked for."""
+        """Record a demand of ``amount`` tokens."""
         self.read()
         self.per_second += amount / DEMAND_WINDOW_S
 
     def read(self) -> float:
-        """Return the present estimate."""
+        """Return the current estimate."""
         now = trio.current_time()
         elapsed = now - self.updated_at
         self.per_second *= max(0.0, 1.0 - elapsed / DEMAND_WINDOW_S)
@@ -87,18 +86,18 @@
 
 @define
 class Loan:
-    """Tokens on their way to, or in use at, a borrower.
+    """Tokens that are on loan, as recorded by the lender or the borrower.
 
     Parameters
     ----------
     amount : float
-    until : float
+    expires_at : float
     grant : str
-        Name of the loan; without one it cannot be given back.
+        Identifier of the loan; a loan without one cannot be returned.
     lender : str
-        VM that lent it.
-    is_begun : bool
-        Whether any of it was used.
+        VM that lent the tokens.
+    is_partly_used : bool
+        Whether any of the tokens were used.
     """
 
     amount: float
@@ -110,13 +109,14 @@
 
 @frozen
 class LowerResult:
-    """What is left of a part after it was lowered.
+    """Result of lowering a part.
 
     Parameters
     ----------
     units : int
-    level : float
-        Tokens that were given up with the rest.
+        Units that the holder keeps.
+    released_tokens : float
+        Tokens that the holder gave up.
     """
 
     units: int
--- a/packages/coordination/plantainshed_coordination/demand_reporter.py
+++ b/packages/coordination/plantainshed_coordination/demand_reporter.py
@@ -1,4 +1,4 @@
-"""Reporting this VM's demand to whoever rebalances each shard."""
+"""Reporting this VM's demand to the rebalancer of each shard."""
 
 import trio
 
@@ -23,7 +23,7 @@
     membership : Membership
     holdings : Holdings
     rebalancers : dict of str to Rebalancer
-        This VM's own candidacies by shard.
+        This VM's own rebalancers, by shard.
     """
 
     def __init__(
@@ -40,14 +40,14 @@
         network.handlers["demand_report"] = self._on_report
 
     async def run(self):
-        """Report until cancelled."""
+        """Send reports periodically until cancelled."""
         while True:
             await self.report_all()
             fleet_size = len(self.membership.table.members)
             await trio.sleep(max(PERIOD_S, fleet_size / MAX_REPORTS_PER_SECOND))
 
     async def report_all(self):
-        """Report every shard once."""
+        """Send one report for each shard."""
         async with trio.open_nursery() as nursery:
             for shard in self.holdings.shards():
                 if shard in self.rebalancers:
--- a/packages/coordination/plantainshed_coordination/division.py
+++ b/packages/coordination/plantainshed_coordination/division.py
@@ -1,4 +1,4 @@
-"""Dividing a number of units among holders by what they want."""
+"""Dividing a number of units among holders in proportion to their demand."""
 
 from collections.abc import Mapping
 
@@ -8,20 +8,20 @@
 def divide(
     units: int, demands: Mapping[str, float], equal_share: float = EQUAL_SHARE
 ) -> dict[str, int]:
-    """Divide units: a small part equally, the rest by what is wanted.
+    """Divide units, a fraction equally and the rest in proportion to demand.
 
-    The parts sum to exactly ``units`` (to 0 without holders), by the method of
-    largest remainders; ties go by name, so that the result is the same for the
-    same input.
+    The parts sum to exactly ``units`` (to 0 without holders). They are rounded by the
+    largest remainder method; ties are broken by name, so that the result is
+    deterministic.
 
     Parameters
     ----------
     units : int
-    wanted : mapping of str to float
-        What each holder could use; nobody is left out for wanting nothing.
+    demands : mapping of str to float
+        Demand of each holder. Holders without demand also get a part.
     equal_share : float
-        Fraction that is divided equally, so that a first request on a VM that
-        had none is not refused while the division catches up.
+        Fraction that is divided equally. It prevents the first request on a VM
+        without recent demand from being refused until the parts are adjusted.
     """
     if not demands:
         return {}
--- a/packages/coordination/plantainshed_coordination/ledger.py
+++ b/packages/coordination/plantainshed_coordination/ledger.py
@@ -1,8 +1,8 @@
-"""The ledger: who holds which part of which budget, in the platform's store.
+"""The ledger records each VM's parts of all budgets in the platform's store.
 
-The ledger is cut into shards, each one object. Parts that belong to one
-failure domain's targets are in that domain's shard, so that a domain that can
-reach the store but no other domain still rebalances its own.
+The ledger is split into shards, each stored as one object. Budgets of a failure
+domain's targets are in that domain's shard, so that a domain that can reach the store
+but no other domain can still rebalance its own budgets.
 """
 
 import json
@@ -27,9 +27,9 @@
     Parameters
     ----------
     total : int
-        Units that the parts may sum to.
+        Maximum sum of the parts, in units.
     parts : dict of str to int
-        Units by holder, a run of a VM (`identity.holder_name`).
+        Units by holder. A holder is a run of a VM (`identity.holder_name`).
     """
 
     total: int
@@ -37,7 +37,7 @@
 
     @property
     def held_units(self) -> int:
-        """Units that are held."""
+        """Sum of the parts, in units."""
         return sum(self.parts.values())
 
 
@@ -49,9 +49,9 @@
     ----------
     shard : str
     version : int
-        Grows by one with each write.
+        Incremented by each write.
     writer : str
-        Mark of whoever wrote it, unique to the write.
+        Identifier of the write attempt, unique to each attempt.
     entries : dict of str to LedgerEntry
         By budget.
     object_version : int
@@ -73,14 +73,14 @@
         }
 
     def to_bytes(self) -> bytes:
-        """Return what is stored."""
+        """Return the shard as JSON for the store."""
         fields = asdict(self)
         del fields["object_version"]
         return json.dumps(fields, sort_keys=True, separators=(",", ":")).encode()
 
 
 def shard_of(spec: BudgetSpec) -> str:
-    """Return the shard that a budget stands in."""
+    """Return the shard that contains a budget."""
     if spec.failure_domain:
         return domain_shard(spec.failure_domain)
     return fleet_shards()[xxhash.xxh64_intdigest(spec.name.encode()) % FLEET_SHARDS]
@@ -92,12 +92,12 @@
 
 
 def fleet_shards() -> list[str]:
-    """Return the shards of the budgets that all VMs share."""
+    """Return the shards of the budgets that are shared by all VMs."""
     return [f"{FLEET_SHARD_PREFIX}{number}" for number in range(FLEET_SHARDS)]
 
 
 async def read_ledger(platform: Platform, shard: str) -> Ledger:
-    """Read a shard; an empty one if it was never written."""
+    """Read a shard; return an empty one if it was never written."""
     try:
         stored = await platform.get(LEDGER_KIND, shard)
     except ObjectMissing:
@@ -108,24 +108,26 @@
 
 
 async def write_ledger(platform: Platform, ledger: Ledger) -> Ledger:
-    """Write the next version of a shard, if nobody else has.
+    """Write the next version of a shard, unless another writer has changed it.
 
     Raises
     ------
     VersionConflict
-        If the shard was written since it was read.
+        If the shard was changed since it was read.
     OutcomeUnknown
-        If the answer was lost and the store cannot be asked now.
+        If the answer was lost and reading the shard again fails as well.
     """
     try:
         version = await platform.put(
             LEDGER_KIND, ledger.shard, ledger.to_bytes(), ledger.object_version
         )
     except OutcomeUnknown:
-        # The write may stand although nobody said so. Taking it for failed,
-        # this writer would go on from parts that have been given away.
+        # The write may have succeeded although the answer was lost. If it were taken
+        # for failed, this writer would continue with parts that were reassigned.
         stored = await read_ledger(platform, ledger.shard)
         if stored.writer != ledger.writer:
-            raise VersionConflict(f"{ledger.shard} was written by another") from None
+            raise VersionConflict(
+                f"{ledger.shard} was changed by another writer"
+            ) from None
         return stored
     return evolve(ledger, object_version=version)
--- a/packages/coordination/plantainshed_coordination/rebalance_plan.py
+++ b/packages/coordination/plantainshed_coordination/rebalance_plan.py
@@ -1,6 +1,6 @@
-"""What the parts of a shard's budgets should be, and what follows from falls.
+"""Computing the parts of a shard's budgets and the next ledger entries.
 
-Only works things out; asking holders and writing the ledger is the rebalancer's.
+This module only computes; `rebalancer` sends messages and writes the ledger.
 """
 
 from collections.abc import Iterable
@@ -26,7 +26,7 @@
 
 @frozen
 class ReceivedReport:
-    """A demand report and when it came."""
+    """A demand report and the time at which it arrived."""
 
     report: DemandReport
     received_at: float
@@ -35,7 +35,7 @@
 
 @frozen
 class Reduction:
-    """A part that its holder is asked to lower."""
+    """A request to a holder to lower its part to a number of units."""
 
     holder: str
     budget: str
@@ -43,7 +43,7 @@
 
 
 class RebalancePlan:
-    """Works out parts from demand reports.
+    """Computes parts from demand reports.
 
     Parameters
     ----------
@@ -64,12 +64,12 @@
         self.reports: dict[str, ReceivedReport] = {}
 
     def specs(self) -> list[BudgetSpec]:
-        """Return the budgets of the shard that this VM knows."""
+        """Return the budgets of the shard that this VM knows of."""
         specs = [part.spec for part in self.holdings.parts.values()]
         return [spec for spec in specs if shard_of(spec) == self.shard]
 
     def desired_parts(self, ledger: Ledger) -> DesiredParts:
-        """Return the parts that each budget should have, where it should change."""
+        """Return the desired parts of each budget whose parts should change."""
         desired_parts = {}
         for spec in self.specs():
             entry = ledger.entries.get(spec.name, LedgerEntry(spec.units, {}))
@@ -88,9 +88,10 @@
         return desired_parts
 
     def current_parts(self, name: str, entry: LedgerEntry) -> dict[str, int]:
-        """Return the parts that are still held: not of runs that are over.
+        """Return a budget's parts, without those of VM runs that have ended.
 
-        A leaving run has said what it keeps until its last request has ended.
+        For a run that is leaving, the part is limited to the units that it has
+        reported to keep until its last request ends.
         """
         current_parts = {}
         for holder, units in entry.parts.items():
@@ -105,7 +106,7 @@
         return current_parts
 
     def _adjustable_holders(self, spec: BudgetSpec) -> list[str]:
-        """Return the holders whose parts can change now."""
+        """Return the holders whose parts can be changed now."""
         fresh = [
             (holder, received)
             for holder, received in self.reports.items()
@@ -126,11 +127,11 @@
         return self.reports[holder].demands.get(spec.name, 0.0)
 
     def has_holder_ended(self, holder: str) -> bool:
-        """Tell whether a holder's part can go to others.
+        """Return whether a holder's part can be given to others.
 
-        Certainty that the run will not act again comes from the platform or
-        from its successor. It must also have been silent for a while: should
-        it only be paused, it finds on waking that it was and stops.
+        The platform or a newer run of the same VM must confirm that the run has
+        ended. The run must also have been silent for a while, so that if it was only
+        paused, it detects this when it resumes, and stops.
         """
         now = trio.current_time()
         return self.membership.table.is_over(*split_holder(holder), now)
@@ -153,7 +154,7 @@
     def reductions(
         self, ledger: Ledger, desired_parts: DesiredParts
     ) -> Iterable[Reduction]:
-        """Yield the parts that their holders are to lower."""
+        """Yield the reductions needed to reach the desired parts."""
         for name, desired in desired_parts.items():
             entry = ledger.entries.get(name)
             if entry is None:
@@ -169,7 +170,7 @@
         desired: dict[str, int],
         lower_results: LowerResults,
     ) -> LedgerEntry:
-        """Return a budget's next entry: what was lowered can be given to others."""
+        """Return a budget's next entry, with units from lowered parts reassigned."""
         name = spec.name
         entry = ledger.entries.get(name)
         if entry is None:
@@ -202,11 +203,11 @@
         entry: LedgerEntry,
         lower_results: LowerResults,
     ) -> TransferredTokens:
-        """Return the tokens that come with each raised part, by (holder, budget).
+        """Return the tokens to add to each raised part, by (holder, budget).
 
-        They are those that lowered parts gave up. Without this a workspace
-        would lose its burst whenever its callers move to another VM. A budget
-        that never was in the ledger starts full.
+        These are the tokens that the lowered parts released. Without them, a
+        workspace would lose its burst whenever its callers move to another VM. A
+        budget that is new in the ledger starts with a full bucket.
         """
         name = spec.name
         if spec.kind is not BudgetKind.RATE:
--- a/packages/coordination/plantainshed_coordination/rebalancer.py
+++ b/packages/coordination/plantainshed_coordination/rebalancer.py
@@ -1,8 +1,9 @@
-"""Moving parts of budgets to where they are wanted, through the ledger.
+"""Moving budget parts to the VMs that have demand, through the ledger.
 
-Whoever holds the lease of a shard does it, about once a second: falls first,
-then the ledger, then rises. The lease only avoids wasted work; what makes two
-rebalancers harmless is the ledger's version, on which each write depends.
+The VM that holds the lease of a shard rebalances it about once a second. It first
+asks holders to lower parts, then writes the ledger, then raises other parts. The
+lease only avoids redundant work. If two VMs rebalance at once, the budgets are still
+safe, because each ledger write is conditional on the version that was read.
 """
 
 import contextlib
@@ -38,7 +39,7 @@
 
 
 class Rebalancer:
-    """This VM's candidacy for one shard, and the work while it holds it.
+    """Competes for the lease of one shard and rebalances the shard while holding it.
 
     Parameters
     ----------
@@ -70,12 +71,12 @@
         self.transferred_tokens: TransferredTokens = {}
 
     async def run(self, candidates):
-        """Hold the lease when it can be had, and rebalance while it is held.
+        """Acquire and renew the lease, and rebalance while it is held.
 
         Parameters
         ----------
         candidates : callable
-            Returns the VMs that may hold this shard, in any order.
+            Returns the VMs that may hold the lease of this shard, in any order.
         """
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._keep_lease, candidates)
@@ -95,9 +96,9 @@
                 await trio.sleep(min(LEASE_RETRY_MAX_S, LEASE_RETRY_BASE_S * 2**rank))
 
     def _rank(self, candidates) -> int:
-        # The first in the order tries often, the others ever more rarely: one
-        # that is cut off from the store is passed over within seconds, and a
-        # whole fleet does not poll the store for a lease that is held.
+        # The retry interval doubles with each rank. If the first candidate is cut off
+        # from the store, another one takes over within seconds, and the fleet as a
+        # whole does not keep polling the store for a lease that is held.
         order = rendezvous_order(self.shard, candidates)
         vm = self.membership.identity.vm
         return order.index(vm) if vm in order else len(order)
@@ -117,13 +118,13 @@
         try:
             await self.rebalance()
         except CoordinationError:
-            # Whatever went wrong, what stands in the store is the truth, and
-            # every part that was lowered meanwhile only lost budget.
+            # Read the ledger again, as the stored version is authoritative. Parts
+            # that were lowered meanwhile only make the fleet's budget smaller.
             self.ledger = None
             self.transferred_tokens = {}
 
     async def on_report(self, sender, report: DemandReport) -> SetParts:
-        """Take in a demand report; answer with the sender's present parts."""
+        """Record a demand report; answer with the sender's current parts."""
         holder = holder_name(sender.vm, sender.incarnation)
         if not self.lease.is_held:
             return SetParts(
@@ -137,7 +138,7 @@
         return self._parts_message(self.ledger, holder)
 
     async def rebalance(self):
-        """Move parts towards what is wanted: falls, ledger, rises."""
+        """Move parts towards demand: lower parts, write the ledger, raise parts."""
         if self.ledger is None:
             self.ledger = await read_ledger(self.platform, self.shard)
         before = self.ledger
@@ -150,9 +151,9 @@
         )
         changed = False
         transferred_tokens: TransferredTokens = {}
-        # Asked anew: a document can have taken budgets away during the round
-        # trip. They get no next entry, and the one they have goes, so that
-        # nobody keeps a part of them.
+        # Read the specs again, as a new document may have removed budgets during the
+        # round trip. The entries of removed budgets are deleted, so that no holder
+        # keeps a part of them.
         known_specs = {spec.name: spec for spec in self.plan.specs()}
         for name, spec in known_specs.items():
             if name not in desired_parts:
@@ -176,10 +177,10 @@
                 raise
 
     async def _undo_reductions(self, reductions: list[Reduction], attempt_id: str):
-        """Give lowered parts back after a write that certainly failed.
+        """Restore lowered parts after a write that certainly failed.
 
-        Falls come before the write, so that an outage of the store would
-        leave the fleet with a fraction of each rate until it is over.
+        Parts are lowered before the write. Without this, the fleet would be left with
+        a fraction of each rate until an outage of the store is over.
         """
         message = RestoreParts(shard=self.shard, mark=attempt_id)
         async with trio.open_nursery() as nursery:
@@ -199,9 +200,9 @@
         return f"{self.membership.identity.holder}/{version}/{self.attempts}"
 
     def _holder_awaits_newer_version(self, version: int) -> bool:
-        """Tell whether a holder gave something up for a version never written.
+        """Return whether a holder lowered a part for a version that was not written.
 
-        It believes no older one, so that its part would stay low for ever.
+        Such a holder ignores older versions, so its part would stay low forever.
         """
         return any(
             received.report.ledger_version > version
@@ -209,12 +210,10 @@
             for received in self.plan.reports.values()
         )
 
-    # Falls, ledger, rises.
-
     async def _request_reductions(
         self, reductions: list[Reduction], for_version: int, attempt_id: str
     ):
-        """Ask for all falls at once; return what each holder says it keeps."""
+        """Request all reductions concurrently; return the answer of each holder."""
         results: LowerResults = {}
         by_holder: dict[str, list[Reduction]] = {}
         for reduction in reductions:
