--- a/packages/coordination/plantainshed_coordination/ledger.py
+++ b/packages/coordination/plantainshed_coordination/ledger.py
@@ -114,8 +114,9 @@
     ------
     VersionConflict
         If the shard was changed since it was read.
-    OutcomeUnknown
-        If the answer was lost and reading the shard again fails as well.
+    PlatformUnavailable
+        If the store cannot be reached. If this happens when the shard is read again
+        after a lost answer, the write may have taken effect.
     """
     try:
         version = await platform.put(
--- a/packages/coordination/plantainshed_coordination/rebalancer.py
+++ b/packages/coordination/plantainshed_coordination/rebalancer.py
@@ -177,7 +177,7 @@
                 raise
 
     async def _undo_reductions(self, reductions: list[Reduction], attempt_id: str):
-        """Restore lowered parts after a write that certainly failed.
+        """Restore lowered parts after a write for which the store was unavailable.
 
         Parts are lowered before the write. Without this, the fleet would be left with
         a fraction of each rate until an outage of the store is over.
--- a/tests/coordination/test_budget_faults.py
+++ b/tests/coordination/test_budget_faults.py
@@ -1,4 +1,4 @@
-"""A rate shared by four VMs under drawn faults: never more than the whole."""
+"""Four VMs that share a rate budget never exceed it under random faults."""
 
 import random
 import unittest
@@ -18,7 +18,7 @@
 
 
 class FaultyFleet:
-    """A fleet under load, whose admissions are held against one bucket."""
+    """A fleet under load whose admissions are compared with a single bucket."""
 
     def __init__(self, seed: int):
         self.fleet = PartsFleet(FOUR_VMS, seed=seed)
@@ -34,10 +34,10 @@
             self.bucket.spend(trio.current_time())
 
     async def load(self, nursery):
-        """Ask for twice the rate, most of it at one VM after the other.
+        """Request twice the rate, mostly at one VM, which changes over time.
 
-        Now and then nobody asks until all buckets are full, and then a volley
-        comes: only then do loans start from full buckets.
+        Occasionally the load pauses until all buckets are full and then sends a burst
+        of requests, as loans start from full buckets only then.
         """
         while True:
             if self.chooser.random() < 0.01:
--- a/tests/coordination/test_budgets.py
+++ b/tests/coordination/test_budgets.py
@@ -39,10 +39,10 @@
 
     @on_mock_clock
     async def test_refill_beside_a_loan_mints_nothing(self):
-        """A workspace gets more than its burst at once, now and then.
+        """Guards against giving a workspace more than its burst at once.
 
-        A full lender lends 10, refills them while they are on their way, and
-        then holds its whole burst beside the 10 that the borrower uses.
+        A full lender lends 10 tokens and refills while they are in transit. It must not
+        hold its whole burst in addition to the 10 that the borrower uses.
         """
         lender = full_part()
         lent = lender.lend(10)
@@ -52,10 +52,10 @@
 
     @on_mock_clock
     async def test_late_loan_is_worth_nothing(self):
-        """A paused VM wakes and admits with tokens that the lender has again.
+        """Guards against using tokens that the lender has already refilled.
 
-        The borrower asks, is paused, the lender's hold on the tokens ends and
-        it refills; then the borrower reads the answer and uses them as well.
+        The borrower asks for a loan and is paused. Meanwhile the loan expires and the
+        lender refills. Then the borrower resumes and reads the answer.
         """
         borrower = RatePart(WORKSPACE)
         asked_at = trio.current_time()
@@ -65,10 +65,10 @@
 
     @on_mock_clock
     async def test_share_on_loan_cannot_be_given_up(self):
-        """Overshoot by what was on loan when a part was moved away.
+        """Guards against exceeding a rate by the tokens that are on loan.
 
-        A part lends its tokens, is asked to fall to nothing, and its share is
-        given to another VM while the borrower still uses the loan.
+        A part lends tokens and is then lowered to 0. Its share would go to another VM
+        while the borrower still uses the loan.
         """
         lender = full_part()
         lender.lend(15)
@@ -104,10 +104,10 @@
 
     @on_mock_clock
     async def test_late_request_of_a_returned_loan_lends_nothing(self):
-        """A target loses a slot for good, although nobody uses it.
+        """Guards against losing a target's slot permanently.
 
-        A loan is asked for twice, returned, and then the second, late copy of
-        the request arrives; nobody would ever return that one.
+        A loan request is repeated. The loan is returned before the second copy of the
+        request arrives; a loan for that copy would never be returned.
         """
         part = CountPart(self.spec)
         part.set_units(2)
--- a/tests/coordination/test_division.py
+++ b/tests/coordination/test_division.py
@@ -1,4 +1,4 @@
-"""Dividing units among holders."""
+"""Dividing units among holders in proportion to demand."""
 
 import unittest
 
--- a/tests/coordination/test_lending.py
+++ b/tests/coordination/test_lending.py
@@ -24,7 +24,7 @@
 from plantainshed_standins.memory_network import DEFAULT_DELAY_S
 from tests.support import PartsFleet, on_mock_clock
 
-# So slow a rate that within a test only a loan brings another token.
+# The rate is so low that during a test only a loan can provide another token.
 SLOW = BudgetSpec("workspace/comune", BudgetKind.RATE, rate=0.2, burst=8.0)
 TWO_VMS = (("a-1", "a"), ("b-1", "b"))
 THREE_VMS = (*TWO_VMS, ("c-1", "c"))
@@ -35,7 +35,7 @@
 
 class TestLateLoans(unittest.TestCase):
     def slow_for(self, fleet, seconds, one_way_s=0.08):
-        """Delay all datagrams for a while."""
+        """Set the latency of all datagrams sent in the next ``seconds``."""
         until = trio.current_time() + seconds
         usual = fleet.network.delay
 
@@ -46,7 +46,7 @@
         fleet.network.delay = delay
 
     def pause_for(self, fleet, seconds):
-        """Have all datagrams arrive after a while, and not before."""
+        """Hold all datagrams sent in the next ``seconds`` until that time is over."""
         until = trio.current_time() + seconds
         usual = fleet.network.delay
 
@@ -57,18 +57,18 @@
         fleet.network.delay = delay
 
     async def spend_own(self, vm):
-        """Use up a VM's own tokens, so that it has to borrow."""
+        """Use up a VM's own tokens so that it has to borrow."""
         part = vm.holdings.rate_part(SLOW.name)
         while part.try_take():
             pass
 
     @on_mock_clock
     async def test_request_is_admitted_though_the_first_loans_come_late(self):
-        """A workspace far below its rate is refused with reason `rate`.
+        """Guards against refusing a workspace far below its rate (reason `rate`).
 
-        One VM has no token left, another has four and lends; its answer takes
-        longer than a loan is usable, as on a busy machine. The asker took that
-        for nobody having any, and refused.
+        One VM has no token left. Another has four and lends some, but its answer takes
+        longer than a loan is usable, as on a busy machine. The borrower treated the
+        late loan as proof that no VM has tokens.
         """
         fleet = PartsFleet(TWO_VMS, specs=[SLOW])
         async with fleet.running() as vms:
@@ -80,7 +80,7 @@
 
     @on_mock_clock
     async def test_lender_that_is_slow_again_after_it_lent_is_asked_again(self):
-        """A VM that is late twice in 2 s counts as empty, though it lent in between."""
+        """A VM that is late twice in 2 s, but lent in between, is not empty."""
         fleet = PartsFleet(TWO_VMS, specs=[SLOW])
         async with fleet.running() as vms:
             await trio.sleep(SETTLE_S)
@@ -93,7 +93,10 @@
 
     @on_mock_clock
     async def test_questions_unanswered_at_once_are_one_failure(self):
-        """A VM counts as empty after one pause, as two workspaces borrowed in it."""
+        """Two workspaces that borrow during one pause of a VM cause one failure.
+
+        Counted separately, they made the VM count as empty.
+        """
         other = evolve(SLOW, name="workspace/piccolo")
         fleet = PartsFleet(TWO_VMS, specs=[SLOW, other])
         async with fleet.running() as vms:
@@ -116,7 +119,10 @@
 
     @on_mock_clock
     async def test_lender_whose_answers_all_come_late_is_asked_on(self):
-        """A VM that answers in 0.16 s counts as empty, as one that answers nothing."""
+        """A VM that answers in 0.16 s is retried more often than a silent one.
+
+        It was treated as empty after as few failures as a VM that never answers.
+        """
         fleet = PartsFleet(TWO_VMS, specs=[SLOW])
         async with fleet.running() as vms:
             await trio.sleep(SETTLE_S)
@@ -126,7 +132,10 @@
 
     @on_mock_clock
     async def test_lender_that_answers_after_a_pause_is_asked_again_at_once(self):
-        """A VM counts as empty for 0.5 s though its answers came meanwhile."""
+        """Late answers clear the mark of an unresponsive VM.
+
+        The VM counted as empty for 0.5 s although its answers had arrived.
+        """
         fleet = PartsFleet(TWO_VMS, specs=[SLOW])
         async with fleet.running() as vms:
             await trio.sleep(SETTLE_S)
@@ -138,7 +147,7 @@
 
     @on_mock_clock
     async def test_lender_that_is_always_late_is_given_up(self):
-        """Each request asks a VM whose loans never come in time, and waits for it."""
+        """Requests do not keep waiting for a VM whose loans never arrive in time."""
         fleet = PartsFleet(TWO_VMS, specs=[SLOW])
         async with fleet.running() as vms:
             await trio.sleep(SETTLE_S)
@@ -154,9 +163,9 @@
 
     @on_mock_clock
     async def test_empty_fleet_is_not_asked_longer_than_before(self):
-        """A workspace far above its rate costs all VMs a flood of questions.
+        """A workspace far above its rate does not flood the VMs with loan requests.
 
-        Everybody answers in time that nothing is left; asking on would not help.
+        All VMs answer in time that they have no tokens, so retrying would not help.
         """
         fleet = PartsFleet(TWO_VMS, specs=[SLOW])
         async with fleet.running() as vms:
@@ -169,7 +178,7 @@
 
     @on_mock_clock
     async def test_lender_that_went_silent_is_given_up(self):
-        """A request hangs because a VM that had tokens has been cut off."""
+        """A request does not hang when a VM that had tokens has been cut off."""
         fleet = PartsFleet(TWO_VMS, specs=[SLOW])
         async with fleet.running() as vms:
             await trio.sleep(SETTLE_S)
@@ -185,12 +194,12 @@
 
 class TestMovedParts(unittest.TestCase):
     def spend_all(self, vm):
-        """Use up a VM's own tokens, to the last fraction."""
+        """Use up all of a VM's own tokens, including fractions."""
         vm.part.refill()
         vm.part.try_take(vm.part.available())
 
     def lower(self, vm, version, units) -> Part:
-        """Have a VM give up all but so many units; return what it gave up."""
+        """Lower a VM's part to ``units``; return the units and tokens it gave up."""
         before = vm.part.units
         message = LowerParts(shard=shard_of(SLOW), for_version=version, mark="test")
         message.parts.append(Part(budget=SLOW.name, units=units))
@@ -198,22 +207,22 @@
         return Part(budget=SLOW.name, units=before - kept.units, level=kept.level)
 
     def add(self, vm, version, moved: Part):
-        """Give a VM what another one gave up."""
+        """Assign to a VM the units and tokens that another VM gave up."""
         moved.units += vm.part.units
         message = SetParts(shard=shard_of(SLOW), version=version, parts=[moved])
         vm.holdings.apply(message)
 
     @on_mock_clock
     async def test_tokens_that_the_ledger_moved_are_found_at_once(self):
-        """A workspace far below its rate is refused with reason `rate`.
+        """Guards against refusing a workspace far below its rate (reason `rate`).
 
-        One VM lowers its part; before the tokens that it gave up reach another,
-        a third borrows and hears that nobody has any left. They arrive, and the
-        next request is refused unasked, as what was heard is still remembered.
+        One VM lowers its part. Before the released tokens reach another VM, a third
+        one borrows and is told that no VM has tokens left. The tokens then arrive, but
+        the next request was refused without asking, due to the remembered answers.
         """
         fleet = PartsFleet(THREE_VMS, specs=[SLOW])
         async with fleet.running() as vms:
-            # Between two writes of the real ledger.
+            # Halfway between two ledger writes of the running rebalancer.
             await trio.sleep(SETTLE_S + PERIOD_S / 2)
             asker, taker, giver = (vms[vm] for vm in ("a-1", "b-1", "c-1"))
             version = giver.holdings.known_version[shard_of(SLOW)] + 1
@@ -229,16 +238,16 @@
 
 class TestUnusedLoans(unittest.TestCase):
     def keep_only(self, vm, amount):
-        """Use up a VM's own tokens but for an amount."""
+        """Use up a VM's own tokens except for ``amount``."""
         vm.part.refill()
         vm.part.try_take(vm.part.available() - amount)
 
     @on_mock_clock
     async def test_loan_that_makes_no_whole_token_is_given_back(self):
-        """A workspace above its rate is served less than its rate.
+        """Guards against serving a workspace less than its rate.
 
-        One VM hears of two halves and borrows both, but another request takes
-        one of them first. The half that it got was lost to everybody.
+        A VM learns of two half tokens on other VMs and borrows both, but one of them
+        is taken by another request first. The half that was lent was then lost.
         """
         fleet = PartsFleet(THREE_VMS, specs=[SLOW])
         async with fleet.running() as vms:
@@ -247,18 +256,18 @@
                 self.keep_only(vms[vm], amount)
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(vms["a-1"].lending.take, SLOW.name)
-                # After both have said what they have left, before they lend it.
+                # After both VMs reported their tokens, before they lend them.
                 await trio.sleep(2.5 * DEFAULT_DELAY_S)
                 self.keep_only(vms["b-1"], 0.0)
             await trio.sleep(2 * DEFAULT_DELAY_S)
             self.assertGreaterEqual(vms["c-1"].part.level, 0.55)
             self.assertLess(vms["a-1"].part.available(), 0.1)
-            # Each was asked what it has left, and for a loan; not once more.
+            # Each VM was queried once and asked for one loan, nothing more.
             self.assertEqual(vms["a-1"].network.sent["loan_request"], 4)
 
     @on_mock_clock
     async def test_loan_is_taken_back_once(self):
-        """A workspace gets more than its rate: a repeated return counts twice."""
+        """A repeated return does not add the loan's tokens twice."""
         part = RatePart(SLOW)
         part.set_units(RATE_UNITS, SLOW.burst)
         part.lend(3.0, "loan")
@@ -269,7 +278,10 @@
 
     @on_mock_clock
     async def test_loan_that_is_over_is_not_taken_back(self):
-        """A workspace gets more than its rate: a late return joins its refill."""
+        """A late return is not added on top of the refill.
+
+        Otherwise the workspace would get more than its rate.
+        """
         part = RatePart(SLOW)
         part.set_units(RATE_UNITS, SLOW.burst)
         part.lend(3.0, "loan")
@@ -279,7 +291,10 @@
 
     @on_mock_clock
     async def test_begun_loan_is_not_given_back(self):
-        """A workspace gets more than its rate: a used token returns to its lender."""
+        """A loan of which a token was used is not returned to its lender.
+
+        Otherwise the workspace would get more than its rate.
+        """
         part = RatePart(SLOW)
         part.receive_loan(1.5, trio.current_time(), "begun", "b-1")
         part.receive_loan(0.5, trio.current_time(), "unused", "b-1")
@@ -289,7 +304,7 @@
 
     @on_mock_clock
     async def test_silent_lender_is_not_asked_by_each_request(self):
-        """Requests wait for a VM that has been cut off, one after another."""
+        """Successive requests do not each wait for a VM that has been cut off."""
         fleet = PartsFleet(TWO_VMS, specs=[SLOW])
         async with fleet.running() as vms:
             await trio.sleep(SETTLE_S)
@@ -306,11 +321,11 @@
 class TestOrderOfWaiting(unittest.TestCase):
     @on_mock_clock
     async def test_later_requests_do_not_take_what_an_earlier_one_borrowed(self):
-        """A workspace far below its rate is refused with reason `rate`.
+        """Guards against refusing a workspace far below its rate (reason `rate`).
 
-        A request borrows; as the loan comes, others come too and use it up, and
-        the next loan likewise. The round ends with nothing at hand and takes that
-        for nobody having any, though the lender has plenty.
+        A request borrows. When the loan arrives, later requests use it up, and the next
+        loan as well. The round ended without tokens and assumed that no VM had any,
+        although the lender had plenty.
         """
         plenty = evolve(SLOW, burst=200.0)
         fleet = PartsFleet(TWO_VMS, specs=[plenty])
@@ -338,15 +353,15 @@
             self.assertGreaterEqual(len(answers), REQUESTS)
 
     def keep_only(self, vm, amount):
-        """Use up a VM's own tokens but for an amount."""
+        """Use up a VM's own tokens except for ``amount``."""
         vm.part.refill()
         vm.part.try_take(vm.part.available() - amount)
 
     @on_mock_clock
     async def test_later_request_leaves_a_new_token_to_the_one_that_waits(self):
-        """A request that waited for a token is refused, one that came later not.
+        """A new token goes to the waiting request, not to a later one.
 
-        The waiting one's VM gets a token while it asks others in vain.
+        The VM gets a token while the first request asks other VMs without success.
         """
         fleet = PartsFleet(TWO_VMS, specs=[SLOW])
         async with fleet.running() as vms:
@@ -368,9 +383,10 @@
 
     @on_mock_clock
     async def test_loan_is_used_though_another_lender_falls_silent(self):
-        """Two of three requests are refused, though a lender had two tokens.
+        """Two of three requests are served by a lender that has two tokens.
 
-        Another lender's answer was waited for until the second had run out.
+        Two were refused, because the second loan expired while the VM waited for the
+        answer of another lender.
         """
         fleet = PartsFleet(THREE_VMS, specs=[SLOW])
         async with fleet.running() as vms:
@@ -385,7 +401,7 @@
             async with trio.open_nursery() as nursery:
                 for _ in range(3):
                     nursery.start_soon(request)
-                # After the first loan, while both are asked for the next.
+                # After the first loan, while both lenders are asked for the next.
                 await trio.sleep(4.5 * DEFAULT_DELAY_S)
                 fleet.cut(["a-1", "b-1"], ["c-1"])
             self.assertEqual(sorted(answers), [False, True, True])
--- a/tests/coordination/test_rebalancer.py
+++ b/tests/coordination/test_rebalancer.py
@@ -1,4 +1,4 @@
-"""Moving parts between VMs, through the ledger."""
+"""Moving budget parts between VMs through the ledger."""
 
 import unittest
 
@@ -14,7 +14,7 @@
 
 
 async def ask_for(vm, rate, seconds):
-    """Take tokens at a rate for a while; return how many were had."""
+    """Request tokens at a rate for ``seconds``; return the number obtained."""
     taken = 0
     for _ in range(int(rate * seconds)):
         taken += await vm.lending.take(WORKSPACE.name)
@@ -35,10 +35,10 @@
 
     @on_mock_clock
     async def test_parts_of_a_dead_vm_come_back(self):
-        """A workspace stays below its rate for ever after a VM died.
+        """Guards against a workspace staying below its rate after a VM died.
 
-        A VM that held most of a rate dies; the platform drops it from its
-        list some seconds later; its part has to go to the others.
+        A VM that held most of a rate dies, and the platform removes it from its list
+        some seconds later. Its part must then go to the other VMs.
         """
         fleet = PartsFleet(FOUR_VMS)
         async with fleet.running() as vms:
@@ -52,10 +52,10 @@
 
     @on_mock_clock
     async def test_part_of_a_silent_but_listed_vm_is_left_alone(self):
-        """Two VMs use the same part, and a workspace gets more than its rate.
+        """Guards against two VMs using the same part, which exceeds the rate.
 
-        A VM is cut off but alive. The others hear nothing of it and would
-        give its part to each other, while it goes on using it.
+        A VM is cut off but alive and keeps using its part. The others receive nothing
+        from it, but must not reassign its part.
         """
         fleet = PartsFleet(FOUR_VMS)
         async with fleet.running() as vms:
@@ -68,10 +68,10 @@
 
     @on_mock_clock
     async def test_lost_answer_of_a_ledger_write(self):
-        """Parts shrink with each lost answer, or are given out twice.
+        """Guards against parts that shrink or are assigned twice after a lost answer.
 
-        The store takes a ledger write and its answer is lost; the rebalancer
-        must find out which it was instead of guessing.
+        The store accepts a ledger write, but the answer is lost. The rebalancer must
+        find out whether the write took effect.
         """
         fleet = PartsFleet(FOUR_VMS)
         async with fleet.running() as vms:
@@ -94,10 +94,10 @@
 
     @on_mock_clock
     async def test_outage_between_fall_and_write_does_not_keep_parts_low(self):
-        """After a short store outage a VM refuses most of what it may admit.
+        """Guards against a VM refusing most requests after a short store outage.
 
-        Its part fell for a ledger version that was never written, so that it
-        believed no older one and nobody wrote a newer one.
+        Its part was lowered for a ledger version that was never written. The VM ignored
+        older versions, and no VM wrote a newer one.
         """
         fleet = PartsFleet(FOUR_VMS)
         async with fleet.running() as vms:
@@ -114,10 +114,10 @@
 class TestHoldings(unittest.TestCase):
     @on_mock_clock
     async def test_late_version_does_not_raise_a_part(self):
-        """Two VMs hold the same units after a message was delayed.
+        """Guards against two VMs holding the same units after a delayed message.
 
-        A part falls for version 6; then a copy of version 5 arrives, which
-        still names the old part. By then version 6 has given it to another.
+        A part is lowered for version 6. Then a copy of version 5 with the old part
+        arrives, although version 6 has assigned the units to another VM.
         """
         fleet = PartsFleet(FOUR_VMS)
         async with fleet.running() as vms:
@@ -133,7 +133,7 @@
 
     @on_mock_clock
     async def test_tokens_of_a_version_count_once(self):
-        """A burst doubles when the network repeats a datagram."""
+        """A repeated datagram does not add the tokens of a version twice."""
         fleet = PartsFleet(FOUR_VMS)
         async with fleet.running() as vms:
             part = vms["a-1"].part
--- a/tests/coordination/test_removed_budgets.py
+++ b/tests/coordination/test_removed_budgets.py
@@ -1,7 +1,7 @@
-"""A document takes a budget away while it is being borrowed from or moved.
+"""A new document removes a budget while it is being borrowed from or rebalanced.
 
-`Node.run` and the server hold the tasks: an error of one ends the process, and
-with it all requests that it serves.
+An unhandled error in such a task would end the process and all requests it serves,
+because the tasks run in the nurseries of `Node.run` and the server.
 """
 
 import unittest
@@ -11,9 +11,9 @@
 from plantainshed_coordination.budgets import BudgetKind, BudgetSpec
 from tests.support import FOUR_VMS, WORKSPACE, PartsFleet, on_mock_clock
 
-# So slow a rate that within a test only a loan brings another token.
+# The rate is so low that during a test only a loan can provide another token.
 SLOW = BudgetSpec("workspace/comune", BudgetKind.RATE, rate=0.2, burst=8.0)
-# So quick a rate that a request waits for its token rather than be refused.
+# The rate is so high that a request waits for a refill instead of being refused.
 QUICK = BudgetSpec("workspace/comune", BudgetKind.RATE, rate=25.0, burst=8.0)
 ONE_VM = (("a-1", "a"),)
 TWO_VMS = (("a-1", "a"), ("b-1", "b"))
@@ -42,12 +42,12 @@
 
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(remove)
-                # Admitted or refused; no other end.
+                # The request may be admitted or refused, but must not raise an error.
                 await vms["a-1"].lending.take(SLOW.name)
 
     @on_mock_clock
     async def test_while_a_request_waits_for_a_refill(self):
-        # A budget of the same name may be back, with parts that start anew.
+        # A budget of the same name may be added again, with new parts.
         for given_back in ([], [QUICK]):
             with self.subTest(given_back=given_back):
                 await self.refill_while_removed(given_back)
@@ -79,7 +79,7 @@
         fleet = PartsFleet(FOUR_VMS)
         async with fleet.running() as vms:
             await trio.sleep(10)
-            # Answers take a while; parts must move to where requests come.
+            # Delay answers, and create demand on one VM so that parts are moved.
             fleet.network.delay = lambda sender, receiver: 0.1
 
             async def ask():
@@ -105,7 +105,7 @@
                     async def request_reductions(reductions, *more, original=original):
                         if reductions and not seen:
                             seen.append(reductions)
-                            # As a document that comes into force meanwhile.
+                            # Like a document that takes effect at this moment.
                             holder.holdings.set_specs([])
                         return await original(reductions, *more)
 
