--- a/tests/coordination/test_budgets.py
+++ b/tests/coordination/test_budgets.py
@@ -38,7 +38,7 @@
         self.assertFalse(part.try_take())
 
     @on_mock_clock
-    async def test_refill_beside_a_loan_mints_nothing(self):
+    async def test_refill_during_a_loan_creates_no_extra_tokens(self):
         """Guards against giving a workspace more than its burst at once.
 
         A full lender lends 10 tokens and refills while they are in transit. It must not
@@ -51,7 +51,7 @@
         self.assertLessEqual(lender.level + lent, WORKSPACE.burst)
 
     @on_mock_clock
-    async def test_late_loan_is_worth_nothing(self):
+    async def test_late_loan_is_not_usable(self):
         """Guards against using tokens that the lender has already refilled.
 
         The borrower asks for a loan and is paused. Meanwhile the loan expires and the
@@ -76,7 +76,7 @@
         self.assertGreaterEqual(result.units, RATE_UNITS // 2)
 
     @on_mock_clock
-    async def test_lowered_part_says_what_it_gave_up(self):
+    async def test_lower_to_returns_released_tokens(self):
         part = full_part()
         result = part.lower_to(RATE_UNITS // 4)
         self.assertAlmostEqual(result.released_tokens, WORKSPACE.burst * 0.75, places=3)
@@ -117,7 +117,7 @@
         self.assertEqual(part.free, 2)
 
     @on_mock_clock
-    async def test_loans_to_gone_runs_come_back(self):
+    async def test_loans_to_ended_runs_are_reclaimed(self):
         part = CountPart(self.spec)
         part.set_units(1)
         part.lend("g1", ("b-1", 1))
@@ -125,7 +125,7 @@
         self.assertEqual(part.free, 1)
 
     @on_mock_clock
-    async def test_falls_only_as_far_as_not_in_use(self):
+    async def test_lower_to_keeps_slots_in_use(self):
         part = CountPart(self.spec)
         part.set_units(4)
         part.try_take()
@@ -133,7 +133,7 @@
         self.assertEqual(part.lower_to(0).units, 2)
 
     @on_mock_clock
-    async def test_smaller_count_binds_before_the_ledger_follows(self):
+    async def test_smaller_count_applies_before_the_ledger_changes(self):
         part = CountPart(self.spec)
         part.set_units(4, total=4)
         part.set_spec(BudgetSpec("slots/t", BudgetKind.COUNT, count=2))
--- a/tests/coordination/test_lending.py
+++ b/tests/coordination/test_lending.py
@@ -92,7 +92,7 @@
                 self.assertGreater(vms["b-1"].part.level, 1.0)
 
     @on_mock_clock
-    async def test_questions_unanswered_at_once_are_one_failure(self):
+    async def test_concurrent_timeouts_count_as_one_failure(self):
         """Two workspaces that borrow during one pause of a VM cause one failure.
 
         Counted separately, they made the VM count as empty.
@@ -118,7 +118,7 @@
             self.assertEqual(answers, [True, True])
 
     @on_mock_clock
-    async def test_lender_whose_answers_all_come_late_is_asked_on(self):
+    async def test_lender_that_always_answers_late_is_retried(self):
         """A VM that answers in 0.16 s is retried more often than a silent one.
 
         It was treated as empty after as few failures as a VM that never answers.
@@ -162,7 +162,7 @@
             self.assertEqual(lending.network.sent["loan_request"], asked)
 
     @on_mock_clock
-    async def test_empty_fleet_is_not_asked_longer_than_before(self):
+    async def test_empty_fleet_is_asked_for_max_rounds_only(self):
         """A workspace far above its rate does not flood the VMs with loan requests.
 
         All VMs answer in time that they have no tokens, so retrying would not help.
@@ -224,16 +224,16 @@
         async with fleet.running() as vms:
             # Halfway between two ledger writes of the running rebalancer.
             await trio.sleep(SETTLE_S + PERIOD_S / 2)
-            asker, taker, giver = (vms[vm] for vm in ("a-1", "b-1", "c-1"))
+            borrower, receiver, giver = (vms[vm] for vm in ("a-1", "b-1", "c-1"))
             version = giver.holdings.known_version[shard_of(SLOW)] + 1
             moved = self.lower(giver, version, round(RATE_UNITS / SLOW.burst))
-            self.spend_all(asker)
-            self.spend_all(taker)
-            self.assertTrue(await asker.lending.take(SLOW.name))
-            self.add(taker, version, moved)
-            self.assertGreaterEqual(taker.part.level, 1.0)
+            self.spend_all(borrower)
+            self.spend_all(receiver)
+            self.assertTrue(await borrower.lending.take(SLOW.name))
+            self.add(receiver, version, moved)
+            self.assertGreaterEqual(receiver.part.level, 1.0)
             await trio.sleep(AVAILABILITY_TTL_S / 5)
-            self.assertTrue(await asker.lending.take(SLOW.name))
+            self.assertTrue(await borrower.lending.take(SLOW.name))
 
 
 class TestUnusedLoans(unittest.TestCase):
@@ -243,7 +243,7 @@
         vm.part.try_take(vm.part.available() - amount)
 
     @on_mock_clock
-    async def test_loan_that_makes_no_whole_token_is_given_back(self):
+    async def test_loans_below_a_whole_token_are_returned(self):
         """Guards against serving a workspace less than its rate.
 
         A VM learns of two half tokens on other VMs and borrows both, but one of them
@@ -266,7 +266,7 @@
             self.assertEqual(vms["a-1"].network.sent["loan_request"], 4)
 
     @on_mock_clock
-    async def test_loan_is_taken_back_once(self):
+    async def test_loan_is_reclaimed_once(self):
         """A repeated return does not add the loan's tokens twice."""
         part = RatePart(SLOW)
         part.set_units(RATE_UNITS, SLOW.burst)
@@ -277,7 +277,7 @@
         self.assertAlmostEqual(part.capacity, SLOW.burst)
 
     @on_mock_clock
-    async def test_loan_that_is_over_is_not_taken_back(self):
+    async def test_expired_loan_is_not_reclaimed(self):
         """A late return is not added on top of the refill.
 
         Otherwise the workspace would get more than its rate.
@@ -290,7 +290,7 @@
         self.assertLessEqual(part.level, SLOW.burst - 3.0 + SLOW.rate * LOAN_HELD_S)
 
     @on_mock_clock
-    async def test_begun_loan_is_not_given_back(self):
+    async def test_partly_used_loan_is_not_returned(self):
         """A loan of which a token was used is not returned to its lender.
 
         Otherwise the workspace would get more than its rate.
@@ -331,12 +331,12 @@
         fleet = PartsFleet(TWO_VMS, specs=[plenty])
         async with fleet.running() as vms:
             await trio.sleep(SETTLE_S + PERIOD_S / 2)
-            asker = vms["a-1"]
-            receive = asker.part.receive_loan
+            borrower = vms["a-1"]
+            receive = borrower.part.receive_loan
             answers = []
 
             async def request():
-                answers.append(await asker.lending.take(plenty.name))
+                answers.append(await borrower.lending.take(plenty.name))
 
             def receive_and_be_asked(*loan):
                 if len(answers) < REQUESTS:
@@ -344,8 +344,8 @@
                         nursery.start_soon(request)
                 return receive(*loan)
 
-            asker.part.receive_loan = receive_and_be_asked
-            asker.part.try_take(asker.part.available())
+            borrower.part.receive_loan = receive_and_be_asked
+            borrower.part.try_take(borrower.part.available())
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(request)
             self.assertGreater(vms["b-1"].part.level, REQUESTS)
@@ -368,16 +368,16 @@
             await trio.sleep(SETTLE_S + PERIOD_S / 2)
             for vm in vms.values():
                 self.keep_only(vm, 0.0)
-            asker = vms["a-1"]
+            borrower = vms["a-1"]
             answers = {}
 
             async def request(number):
-                answers[number] = await asker.lending.take(SLOW.name)
+                answers[number] = await borrower.lending.take(SLOW.name)
 
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(request, 1)
                 await trio.sleep(DEFAULT_DELAY_S / 2)
-                asker.part.set_units(asker.part.units, 1.0)
+                borrower.part.set_units(borrower.part.units, 1.0)
                 nursery.start_soon(request, 2)
             self.assertEqual(answers, {1: True, 2: False})
 
--- a/tests/coordination/test_rebalancer.py
+++ b/tests/coordination/test_rebalancer.py
@@ -93,7 +93,7 @@
             self.assertGreaterEqual(taken, 396)
 
     @on_mock_clock
-    async def test_outage_between_fall_and_write_does_not_keep_parts_low(self):
+    async def test_outage_between_reduction_and_write_does_not_keep_parts_low(self):
         """Guards against a VM refusing most requests after a short store outage.
 
         Its part was lowered for a ledger version that was never written. The VM ignored
@@ -103,9 +103,9 @@
         async with fleet.running() as vms:
             await trio.sleep(10)
             version = (await read_ledger(fleet.platform, SHARD)).version
-            fall = LowerParts(shard=SHARD, for_version=version + 1)
-            fall.parts.append(Part(budget=WORKSPACE.name, units=0))
-            vms["a-1"].holdings.lower(fall)
+            reduction = LowerParts(shard=SHARD, for_version=version + 1)
+            reduction.parts.append(Part(budget=WORKSPACE.name, units=0))
+            vms["a-1"].holdings.lower(reduction)
             await trio.sleep(20)
             self.assertGreater(vms["a-1"].part.units, RATE_UNITS // 10)
             self.assertEqual(fleet.units(), RATE_UNITS)
@@ -125,9 +125,9 @@
             old = SetParts(shard=SHARD, version=5)
             old.parts.append(Part(budget=WORKSPACE.name, units=900_000))
             holdings.apply(old)
-            fall = LowerParts(shard=SHARD, for_version=6)
-            fall.parts.append(Part(budget=WORKSPACE.name, units=100))
-            holdings.lower(fall)
+            reduction = LowerParts(shard=SHARD, for_version=6)
+            reduction.parts.append(Part(budget=WORKSPACE.name, units=100))
+            holdings.lower(reduction)
             holdings.apply(old)
             self.assertEqual(vms["a-1"].part.units, 100)
 
--- a/tests/coordination/test_removed_budgets.py
+++ b/tests/coordination/test_removed_budgets.py
@@ -48,11 +48,11 @@
     @on_mock_clock
     async def test_while_a_request_waits_for_a_refill(self):
         # A budget of the same name may be added again, with new parts.
-        for given_back in ([], [QUICK]):
-            with self.subTest(given_back=given_back):
-                await self.refill_while_removed(given_back)
+        for readded_specs in ([], [QUICK]):
+            with self.subTest(readded_specs=readded_specs):
+                await self.refill_while_removed(readded_specs)
 
-    async def refill_while_removed(self, given_back: list[BudgetSpec]):
+    async def refill_while_removed(self, readded_specs: list[BudgetSpec]):
         fleet = PartsFleet(ONE_VM, specs=[QUICK])
         async with fleet.running() as vms:
             await trio.sleep(SETTLE_S)
@@ -69,7 +69,7 @@
                 nursery.start_soon(take)
                 await trio.sleep(0.01)
                 holdings.set_specs([])
-                holdings.set_specs(given_back)
+                holdings.set_specs(readded_specs)
             self.assertEqual(admitted, [False])
             holdings.set_specs([])
             self.assertFalse(await vms["a-1"].lending.take(QUICK.name))
