--- a/packages/coordination/plantainshed_coordination/rate_part.py
+++ b/packages/coordination/plantainshed_coordination/rate_part.py
@@ -140,7 +140,7 @@
         return unused
 
     def seconds_until_available(self, amount: float = WHOLE_TOKEN) -> float:
-        """Return the time until ``amount`` tokens are available without loans."""
+        """Return the time until refills alone provide ``amount`` available tokens."""
         self.refill()
         missing = amount - self.available()
         if missing <= 0:
