--- a/packages/coordination/plantainshed_coordination/count_loans.py
+++ b/packages/coordination/plantainshed_coordination/count_loans.py
@@ -1,4 +1,4 @@
-"""One of a count, borrowed from another VM for as long as it is used."""
+"""Borrowing slots of count budgets from other VMs while they are in use."""
 
 from collections.abc import Callable
 
@@ -16,17 +16,17 @@
 
 @frozen
 class BorrowedCount:
-    """One of a count, borrowed from a lender until it is returned.
+    """A slot of a count budget, borrowed until it is returned.
 
     Parameters
     ----------
     lender : str
-        VM that lent it.
+        VM that lent the slot.
     lender_incarnation : int
     budget : str
-        Count budget that it is one of.
+        Count budget of the slot.
     grant : str
-        Name of the loan.
+        Identifier of the loan.
     """
 
     lender: str
@@ -36,44 +36,46 @@
 
 
 class CountLoans:
-    """Borrows from counts of other VMs, and returns what it borrowed.
+    """Borrows slots of count budgets from other VMs and returns them.
 
     Parameters
     ----------
     network : PeerNetwork
     membership : Membership
-    next_grant : callable
-        Returns a name for a loan, another one each time.
+    next_grant_id : callable
+        Returns a new, unique loan identifier on each call.
     """
 
     def __init__(
         self,
         network: PeerNetwork,
         membership: Membership,
-        next_grant: Callable[[], str],
+        next_grant_id: Callable[[], str],
     ):
         self.network = network
         self.membership = membership
-        self.next_grant = next_grant
-        self._to_return, self._returning = trio.open_memory_channel(float("inf"))
+        self.next_grant_id = next_grant_id
+        self._return_queue, self._pending_returns = trio.open_memory_channel(
+            float("inf")
+        )
 
     async def run(self):
-        """Return borrowed counts until cancelled."""
+        """Return borrowed slots to their lenders until cancelled."""
         async with trio.open_nursery() as nursery:
             while True:
-                loan = await self._returning.receive()
+                loan = await self._pending_returns.receive()
                 nursery.start_soon(self._return, loan)
 
     async def borrow(
         self, group: str, lenders: list[str], alone: bool = False
     ) -> BorrowedCount | None:
-        """Borrow one of a group of counts from the first lender that has one.
+        """Borrow a slot from a group of count budgets, trying lenders in order.
 
-        With ``alone``, one that no other loan of this kind is using.
+        With ``alone``, the slot's target must not serve another such request.
         """
         for vm in lenders:
-            grant_name = self.next_grant()
-            request = LoanRequest(budget=group, amount=1, grant=grant_name, alone=alone)
+            grant_id = self.next_grant_id()
+            request = LoanRequest(budget=group, amount=1, grant=grant_id, alone=alone)
             member = self.membership.table.members.get(vm)
             if member is None:
                 continue
@@ -83,17 +85,17 @@
                     vm, "loan_request", request, LOAN_TIMEOUT_S
                 )
             except PeerError:
-                # The lender may have lent it all the same. It is told that
-                # nobody uses the loan, or it would miss that one for good.
-                self.give_back(BorrowedCount(vm, incarnation, "", grant_name))
+                # The lender may have lent the slot although no answer arrived.
+                # Return the loan, or the slot would be lost permanently.
+                self.return_loan(BorrowedCount(vm, incarnation, "", grant_id))
                 continue
             if grant.amount >= 1:
-                return BorrowedCount(vm, incarnation, grant.budget, grant_name)
+                return BorrowedCount(vm, incarnation, grant.budget, grant_id)
         return None
 
-    def give_back(self, loan: BorrowedCount):
-        """Return a borrowed count; goes on in the background until confirmed."""
-        self._to_return.send_nowait(loan)
+    def return_loan(self, loan: BorrowedCount):
+        """Return a borrowed slot; retried in the background until confirmed."""
+        self._return_queue.send_nowait(loan)
 
     async def _return(self, loan: BorrowedCount):
         message = LoanReturn(budget=loan.budget, grant=loan.grant)
--- a/packages/coordination/plantainshed_coordination/rate_part.py
+++ b/packages/coordination/plantainshed_coordination/rate_part.py
@@ -8,29 +8,29 @@
     LOAN_HELD_S,
     LOAN_USABLE_S,
     RATE_UNITS,
-    ROUNDING,
+    ROUNDING_TOLERANCE,
     WHOLE_TOKEN,
     BudgetSpec,
     DemandMeter,
     Loan,
-    Lowered,
+    LowerResult,
 )
 
 
 class RatePart:
     """This VM's part of a token bucket.
 
-    For a share s of a bucket with rate r and burst b, the part is a bucket
-    with rate s*r and burst s*b. At any moment the levels of all parts, plus
-    what is on loan, are at most the level that one single bucket would have.
+    For a share s of a bucket with rate r and burst b, the part is a bucket with rate
+    s*r and burst s*b. At any time, the levels of all parts plus the tokens on loan
+    sum to at most the level of a single bucket for the whole budget.
 
     Attributes
     ----------
     spec : BudgetSpec
     units : int
-        Share of this VM, of `RATE_UNITS`.
+        Share of this VM, out of `RATE_UNITS`.
     level : float
-        Tokens at hand.
+        Available tokens, borrowed ones excluded.
     demand : DemandMeter
     """
 
@@ -40,8 +40,8 @@
         self.level = 0.0
         self.demand = DemandMeter()
         self.updated_at = trio.current_time()
-        self._lent: list[Loan] = []
-        self._borrowed: list[Loan] = []
+        self._lent_loans: list[Loan] = []
+        self._borrowed_loans: list[Loan] = []
 
     @property
     def share(self) -> float:
@@ -50,93 +50,97 @@
 
     @property
     def capacity(self) -> float:
-        """Most tokens that may be at hand; what is on loan counts as used."""
+        """Maximum level; tokens on loan reduce it."""
         return max(0.0, self.spec.burst * self.share - self._lent_amount())
 
     def _lent_amount(self) -> float:
         now = trio.current_time()
-        self._lent = [loan for loan in self._lent if loan.until > now]
-        return sum(loan.amount for loan in self._lent)
+        self._lent_loans = [loan for loan in self._lent_loans if loan.expires_at > now]
+        return sum(loan.amount for loan in self._lent_loans)
 
     def refill(self):
-        """Bring the level up to now."""
+        """Add the tokens that have accrued since the last update."""
         now = trio.current_time()
-        grown = self.level + self.spec.rate * self.share * (now - self.updated_at)
-        self.level = min(self.capacity, grown)
+        refilled = self.level + self.spec.rate * self.share * (now - self.updated_at)
+        self.level = min(self.capacity, refilled)
         self.updated_at = now
 
-    def try_take(self, amount: float = WHOLE_TOKEN, leaving: float = 0.0) -> bool:
-        """Take tokens if so many are left then, borrowed ones first."""
+    def try_take(self, amount: float = WHOLE_TOKEN, reserve: float = 0.0) -> bool:
+        """Take tokens, borrowed ones first, if at least ``reserve`` remain."""
         self.refill()
-        if self.available() + ROUNDING < amount + leaving:
+        if self.available() + ROUNDING_TOLERANCE < amount + reserve:
             return False
-        left = amount
-        for loan in self._borrowed:
-            used = min(left, loan.amount)
+        remaining = amount
+        for loan in self._borrowed_loans:
+            used = min(remaining, loan.amount)
             loan.amount -= used
-            loan.is_begun |= used > 0
-            left -= used
-        self.level = max(0.0, self.level - left)
+            loan.is_partly_used |= used > 0
+            remaining -= used
+        self.level = max(0.0, self.level - remaining)
         return True
 
     def available(self) -> float:
-        """Return the tokens at hand, borrowed ones included."""
+        """Return the number of available tokens, borrowed ones included."""
         now = trio.current_time()
-        self._borrowed = [
-            loan for loan in self._borrowed if loan.until > now and loan.amount > 0
+        self._borrowed_loans = [
+            loan
+            for loan in self._borrowed_loans
+            if loan.expires_at > now and loan.amount > 0
         ]
-        return self.level + sum(loan.amount for loan in self._borrowed)
+        return self.level + sum(loan.amount for loan in self._borrowed_loans)
 
     def lend(self, amount: float, grant: str = "") -> float:
-        """Give away up to so many tokens; return how many.
+        """Lend up to ``amount`` tokens; return the number lent.
 
-        The bucket stays smaller by as much until the borrower cannot use them
-        any more. Otherwise tokens that this part refills meanwhile would stand
-        beside those on their way, and both could be used at once.
+        The capacity is reduced by the same amount until the borrower can no longer
+        use the tokens. Otherwise this part could refill them meanwhile, and both the
+        lent and the refilled tokens could be used at once.
         """
         self.refill()
-        given = min(amount, self.level)
-        if given > 0:
-            self.level -= given
-            until = trio.current_time() + LOAN_HELD_S
-            self._lent.append(Loan(given, until, grant))
-        return given
+        lent = min(amount, self.level)
+        if lent > 0:
+            self.level -= lent
+            expires_at = trio.current_time() + LOAN_HELD_S
+            self._lent_loans.append(Loan(lent, expires_at, grant))
+        return lent
 
-    def take_back(self, grant: str):
-        """Have a loan's tokens again, of which the borrower used none.
+    def reclaim_loan(self, grant: str):
+        """Take back the tokens of a loan that the borrower did not use.
 
-        One that is over already has made room for a refill, and counts no more.
+        A loan that has expired is ignored, as its tokens may have been refilled.
         """
         self.refill()
-        for loan in self._lent:
+        for loan in self._lent_loans:
             if grant and loan.grant == grant:
-                self._lent.remove(loan)
+                self._lent_loans.remove(loan)
                 self.level = min(self.capacity, self.level + loan.amount)
                 return
 
     def receive_loan(
         self, amount: float, asked_at: float, grant: str = "", lender: str = ""
     ) -> bool:
-        """Take in borrowed tokens; tell whether any of them can still be used.
+        """Add borrowed tokens; return whether they can still be used.
 
-        They are usable for a short while only, which begins before they were
-        asked for. A loan that comes late, or to a process that was paused
-        meanwhile, is worth nothing.
+        Borrowed tokens expire a short time after ``asked_at``, the time at which they
+        were requested. A loan that arrives late, or after the process was paused, is
+        worthless.
         """
-        until = asked_at + LOAN_USABLE_S
-        if amount <= 0 or until <= trio.current_time():
+        expires_at = asked_at + LOAN_USABLE_S
+        if amount <= 0 or expires_at <= trio.current_time():
             return False
-        self._borrowed.append(Loan(amount, until, grant, lender))
+        self._borrowed_loans.append(Loan(amount, expires_at, grant, lender))
         return True
 
-    def give_up_loans(self) -> list[Loan]:
-        """Give up borrowed tokens; return the loans of which none were used."""
-        unused = [loan for loan in self._borrowed if not loan.is_begun]
-        self._borrowed = [loan for loan in self._borrowed if loan.is_begun]
+    def drop_unused_loans(self) -> list[Loan]:
+        """Remove and return the loans of which no tokens were used."""
+        unused = [loan for loan in self._borrowed_loans if not loan.is_partly_used]
+        self._borrowed_loans = [
+            loan for loan in self._borrowed_loans if loan.is_partly_used
+        ]
         return unused
 
-    def seconds_until(self, amount: float = WHOLE_TOKEN) -> float:
-        """Return how long this part alone needs to have so many tokens."""
+    def seconds_until_available(self, amount: float = WHOLE_TOKEN) -> float:
+        """Return the time until refills alone provide ``amount`` available tokens."""
         self.refill()
         missing = amount - self.available()
         if missing <= 0:
@@ -146,38 +150,38 @@
         return missing / (self.spec.rate * self.share)
 
     def set_units(self, units: int, level: float = 0.0):
-        """Change the part, and add the tokens that come with it."""
+        """Change the share and add ``level`` tokens."""
         self.refill()
         self.units = units
         self.level = min(self.capacity, self.level + level)
 
     def set_spec(self, spec: BudgetSpec):
-        """Take over another rate and burst; the share stays."""
+        """Change the rate and burst; the share stays the same."""
         self.refill()
         self.spec = spec
         self.level = min(self.level, self.capacity)
 
-    def lower_to(self, units: int) -> Lowered:
-        """Give up part of the share, and what the smaller bucket cannot hold.
+    def lower_to(self, units: int) -> LowerResult:
+        """Lower the share and release the tokens above the new capacity.
 
-        What is on loan stays within this part until the loan is over. Given
-        up earlier, it would stand in the ledger as another VM's and still be
-        used by the borrower.
+        The share that covers tokens on loan is kept until the loan expires. If it
+        were given up earlier, the ledger could assign it to another VM while the
+        borrower still uses the tokens.
         """
         self.refill()
         lent = self._lent_amount()
         if lent:
             units = max(units, math.ceil(lent / self.spec.burst * RATE_UNITS))
         if units >= self.units:
-            return Lowered(self.units)
+            return LowerResult(self.units)
         before = self.level
         self.set_units(units)
-        return Lowered(units, before - self.level)
+        return LowerResult(units, before - self.level)
 
     def restore(self, units: int, level: float):
-        """Take back what `lower_to` gave up."""
+        """Undo `lower_to`: set the share back and add the released tokens."""
         self.set_units(units, level)
 
-    def wanted(self) -> float:
-        """Return how much this VM's callers ask for."""
+    def estimate_demand(self) -> float:
+        """Return this VM's recent demand, in tokens per second."""
         return self.demand.read()
--- a/tests/coordination/test_budgets.py
+++ b/tests/coordination/test_budgets.py
@@ -38,11 +38,11 @@
         self.assertFalse(part.try_take())
 
     @on_mock_clock
-    async def test_refill_beside_a_loan_mints_nothing(self):
-        """A workspace gets more than its burst at once, now and then.
+    async def test_refill_during_a_loan_creates_no_extra_tokens(self):
+        """Guards against giving a workspace more than its burst at once.
 
-        A full lender lends 10, refills them while they are on their way, and
-        then holds its whole burst beside the 10 that the borrower uses.
+        A full lender lends 10 tokens and refills while they are in transit. It must not
+        hold its whole burst in addition to the 10 that the borrower uses.
         """
         lender = full_part()
         lent = lender.lend(10)
@@ -51,11 +51,11 @@
         self.assertLessEqual(lender.level + lent, WORKSPACE.burst)
 
     @on_mock_clock
-    async def test_late_loan_is_worth_nothing(self):
-        """A paused VM wakes and admits with tokens that the lender has again.
+    async def test_late_loan_is_not_usable(self):
+        """Guards against using tokens that the lender has already refilled.
 
-        The borrower asks, is paused, the lender's hold on the tokens ends and
-        it refills; then the borrower reads the answer and uses them as well.
+        The borrower asks for a loan and is paused. Meanwhile the loan expires and the
+        lender refills. Then the borrower resumes and reads the answer.
         """
         borrower = RatePart(WORKSPACE)
         asked_at = trio.current_time()
@@ -65,21 +65,21 @@
 
     @on_mock_clock
     async def test_share_on_loan_cannot_be_given_up(self):
-        """Overshoot by what was on loan when a part was moved away.
+        """Guards against exceeding a rate by the tokens that are on loan.
 
-        A part lends its tokens, is asked to fall to nothing, and its share is
-        given to another VM while the borrower still uses the loan.
+        A part lends tokens and is then lowered to 0. Its share would go to another VM
+        while the borrower still uses the loan.
         """
         lender = full_part()
         lender.lend(15)
-        left = lender.lower_to(0)
-        self.assertGreaterEqual(left.units, RATE_UNITS // 2)
+        result = lender.lower_to(0)
+        self.assertGreaterEqual(result.units, RATE_UNITS // 2)
 
     @on_mock_clock
-    async def test_lowered_part_says_what_it_gave_up(self):
+    async def test_lower_to_returns_released_tokens(self):
         part = full_part()
-        left = part.lower_to(RATE_UNITS // 4)
-        self.assertAlmostEqual(left.level, WORKSPACE.burst * 0.75, places=3)
+        result = part.lower_to(RATE_UNITS // 4)
+        self.assertAlmostEqual(result.released_tokens, WORKSPACE.burst * 0.75, places=3)
 
 
 class TestCountPart(unittest.TestCase):
@@ -104,28 +104,28 @@
 
     @on_mock_clock
     async def test_late_request_of_a_returned_loan_lends_nothing(self):
-        """A target loses a slot for good, although nobody uses it.
+        """Guards against losing a target's slot permanently.
 
-        A loan is asked for twice, returned, and then the second, late copy of
-        the request arrives; nobody would ever return that one.
+        A loan request is repeated. The loan is returned before the second copy of the
+        request arrives; a loan for that copy would never be returned.
         """
         part = CountPart(self.spec)
         part.set_units(2)
         part.lend("g1", ("b-1", 1))
-        part.take_back("g1")
+        part.reclaim_loan("g1")
         self.assertFalse(part.lend("g1", ("b-1", 1)))
         self.assertEqual(part.free, 2)
 
     @on_mock_clock
-    async def test_loans_to_gone_runs_come_back(self):
+    async def test_loans_to_ended_runs_are_reclaimed(self):
         part = CountPart(self.spec)
         part.set_units(1)
         part.lend("g1", ("b-1", 1))
-        part.take_back_from_gone(lambda vm, incarnation: vm == "b-1")
+        part.reclaim_from_ended_runs(lambda vm, incarnation: vm == "b-1")
         self.assertEqual(part.free, 1)
 
     @on_mock_clock
-    async def test_falls_only_as_far_as_not_in_use(self):
+    async def test_lower_to_keeps_slots_in_use(self):
         part = CountPart(self.spec)
         part.set_units(4)
         part.try_take()
@@ -133,7 +133,7 @@
         self.assertEqual(part.lower_to(0).units, 2)
 
     @on_mock_clock
-    async def test_smaller_count_binds_before_the_ledger_follows(self):
+    async def test_smaller_count_applies_before_the_ledger_changes(self):
         part = CountPart(self.spec)
         part.set_units(4, total=4)
         part.set_spec(BudgetSpec("slots/t", BudgetKind.COUNT, count=2))
