--- a/packages/coordination/plantainshed_coordination/follower.py
+++ b/packages/coordination/plantainshed_coordination/follower.py
@@ -23,14 +23,14 @@
 POLL_S = 1.0
 # Pause between reads of the root beside the watch, which looks the same while it
 # waits for a change and when the store never took it up.
-CONFIRM_S = 2.0
+STORE_POLL_S = 2.0
 RETRY_MIN_S = 0.2
 RETRY_MAX_S = 5.0
-PEERS_TRIED = 3
+MAX_PEERS_TRIED = 3
 # First and longest time for the whole document from one peer; it doubles while no
 # peer gives it in time.
-ANSWER_S = 1.0
-LONGEST_ANSWER_S = 16.0
+FETCH_TIMEOUT_MIN_S = 1.0
+FETCH_TIMEOUT_MAX_S = 16.0
 REVISION_NAME = "revision"
 SEGMENT_PREFIX = "segment/"
 
@@ -78,14 +78,14 @@
         self.installed = trio.Event()
         self.store_heard_at = trio.current_time()
         self.is_watching = False
-        self._news = trio.Event()
-        membership.on_change.append(self._note_record)
+        self._newer_version_seen = trio.Event()
+        membership.on_change.append(self._on_record_change)
 
     async def run(self):
         """Follow until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._watch_store)
-            nursery.start_soon(self._confirm)
+            nursery.start_soon(self._poll_store)
             nursery.start_soon(self._follow_peers)
 
     def value(self, name: str) -> bytes | None:
@@ -99,7 +99,7 @@
         root = Root(EMPTY_REVISION)
         delay_s = RETRY_MIN_S
         while True:
-            self.is_watching = self.membership.is_among_first(
+            self.is_watching = self.membership.is_selected_for(
                 "document-watch", WATCHERS
             )
             if not self.is_watching:
@@ -107,7 +107,7 @@
                 continue
             try:
                 newer = await self.store.wait_for_newer(root)
-                await self._take_root(newer)
+                await self._install_root(newer)
                 # Only now: what could not be read is to be told again.
                 root = newer
                 delay_s = RETRY_MIN_S
@@ -117,48 +117,48 @@
                 await trio.sleep(delay_s * random.uniform(0.5, 1.5))
                 delay_s = min(RETRY_MAX_S, delay_s * 2)
 
-    async def _confirm(self):
+    async def _poll_store(self):
         """Read what a watch that is never answered would not tell."""
         while True:
-            await trio.sleep(CONFIRM_S)
+            await trio.sleep(STORE_POLL_S)
             if not self.is_watching:
                 continue
             with contextlib.suppress(CoordinationError):
-                await self._take_root(await self.store.root())
+                await self._install_root(await self.store.root())
 
-    async def _take_root(self, root: Root):
+    async def _install_root(self, root: Root):
         self.store_heard_at = trio.current_time()
         if root.revision.version not in self.refused:
-            await self._take(root.revision, self.store.segment)
+            await self._install_if_newer(root.revision, self.store.segment)
 
-    def _note_record(self, record: MemberRecord):
+    def _on_record_change(self, record: MemberRecord):
         if record.document_version > self.revision.version:
-            self._news.set()
+            self._newer_version_seen.set()
 
     async def _follow_peers(self):
-        limit_s = ANSWER_S
+        timeout_s = FETCH_TIMEOUT_MIN_S
         while True:
             with trio.move_on_after(POLL_S):
-                await self._news.wait()
-            self._news = trio.Event()
-            records = self._better_peers()
-            if not records or await self._take_from_first(records, limit_s):
-                limit_s = ANSWER_S
+                await self._newer_version_seen.wait()
+            self._newer_version_seen = trio.Event()
+            records = self._peers_with_newer_version()
+            if not records or await self._install_from_first_peer(records, timeout_s):
+                timeout_s = FETCH_TIMEOUT_MIN_S
             else:
-                limit_s = min(LONGEST_ANSWER_S, 2 * limit_s)
+                timeout_s = min(FETCH_TIMEOUT_MAX_S, 2 * timeout_s)
 
-    async def _take_from_first(
-        self, records: list[MemberRecord], limit_s: float
+    async def _install_from_first_peer(
+        self, records: list[MemberRecord], timeout_s: float
     ) -> bool:
         """Take the document from the first peer that gives it in time, if any."""
         for record in records:
             # A frozen peer must not keep this VM from another, known or not yet.
-            with contextlib.suppress(CoordinationError), trio.move_on_after(limit_s):
-                await self._take_from(record)
+            with contextlib.suppress(CoordinationError), trio.move_on_after(timeout_s):
+                await self._install_from_peer(record)
                 return True
         return False
 
-    def _better_peers(self) -> list[MemberRecord]:
+    def _peers_with_newer_version(self) -> list[MemberRecord]:
         """Return peers with a newer version, those of the own domain first.
 
         Other domains are asked only by two VMs of this one, so that a change
@@ -173,20 +173,20 @@
                 continue
             is_near = record.failure_domain == own.failure_domain
             (near if is_near else far).append(record)
-        if near or not self.membership.is_among_first("document-far", WATCHERS):
+        if near or not self.membership.is_selected_for("document-far", WATCHERS):
             far = []
         by_name = {record.vm: record for record in near or far}
         order = rendezvous_order(own.vm, by_name)
-        return [by_name[vm] for vm in order[:PEERS_TRIED]]
+        return [by_name[vm] for vm in order[:MAX_PEERS_TRIED]]
 
-    async def _take_from(self, record: MemberRecord):
+    async def _install_from_peer(self, record: MemberRecord):
         async def segment(digest: str) -> bytes:
             return await self.bulk.fetch(record.control, SEGMENT_PREFIX + digest)
 
         data = await self.bulk.fetch(record.control, REVISION_NAME)
-        await self._take(Revision.from_bytes(data), segment)
+        await self._install_if_newer(Revision.from_bytes(data), segment)
 
-    async def _take(self, revision: Revision, fetch_segment):
+    async def _install_if_newer(self, revision: Revision, fetch_segment):
         """Install a revision if it is newer, fetching only what changed."""
         if revision.version <= self.revision.version:
             return
--- a/packages/coordination/plantainshed_coordination/leases.py
+++ b/packages/coordination/plantainshed_coordination/leases.py
@@ -21,7 +21,7 @@
 
 
 @frozen
-class SeenLease:
+class ObservedLease:
     """A lease as it was last read.
 
     Parameters
@@ -30,13 +30,13 @@
         Empty when it was given back.
     version : int
         Version of the object in the store.
-    seen_at : float
+    observed_at : float
         When this version was first seen, by this process's clock.
     """
 
     holder: str
     version: int
-    seen_at: float
+    observed_at: float
 
 
 class Lease:
@@ -58,7 +58,7 @@
         self.name = name
         self.holder = holder
         self.ttl_s = ttl_s
-        self.seen: SeenLease | None = None
+        self.seen: ObservedLease | None = None
         self.renewed_at = -ttl_s
 
     @property
@@ -80,8 +80,8 @@
         began_at = trio.current_time()
         try:
             if not self.is_held:
-                await self._look()
-                if not self._may_take():
+                await self._read()
+                if not self._can_acquire():
                     return False
             await self._write(self.holder)
         except PlatformError:
@@ -100,20 +100,20 @@
             # It lapses by itself; nobody waits for this.
             return
 
-    async def _look(self):
+    async def _read(self):
         try:
             stored = await self.platform.get(LEASE_KIND, self.name)
         except ObjectMissing:
-            self.seen = SeenLease(FREE, ABSENT, trio.current_time())
+            self.seen = ObservedLease(FREE, ABSENT, trio.current_time())
             return
         if self.seen is None or self.seen.version != stored.version:
             holder = json.loads(stored.value)["holder"]
-            self.seen = SeenLease(holder, stored.version, trio.current_time())
+            self.seen = ObservedLease(holder, stored.version, trio.current_time())
 
-    def _may_take(self) -> bool:
+    def _can_acquire(self) -> bool:
         if self.seen.holder in (FREE, self.holder):
             return True
-        return trio.current_time() - self.seen.seen_at >= self.ttl_s
+        return trio.current_time() - self.seen.observed_at >= self.ttl_s
 
     async def _write(self, holder: str):
         value = json.dumps({"holder": holder}).encode()
@@ -125,4 +125,4 @@
             self.seen = None
             self.renewed_at = -self.ttl_s
             raise
-        self.seen = SeenLease(holder, version, trio.current_time())
+        self.seen = ObservedLease(holder, version, trio.current_time())
--- a/packages/coordination/plantainshed_coordination/members.py
+++ b/packages/coordination/plantainshed_coordination/members.py
@@ -7,7 +7,7 @@
 from .peer_pb2 import DomainBeat, MemberRecord
 
 REPLACED_GRACE_S = 4.0
-NEWS_S = 4.0
+RECENT_CHANGE_S = 4.0
 
 
 class MemberState(IntEnum):
@@ -45,20 +45,20 @@
         Highest beat number of that incarnation heard from anybody.
     heard_at : float
         When the beat last rose, by this process's clock.
-    verdict : Liveness
+    reported_liveness : Liveness
         What the VM's own failure domain says of it; used for other domains.
     changed_at : float
         When the record last changed here.
-    run_since : float
+    incarnation_seen_at : float
         When this incarnation was first heard of.
     """
 
     record: MemberRecord
     heard_at: float
     changed_at: float
-    run_since: float
+    incarnation_seen_at: float
     beat: int = 0
-    verdict: Liveness = Liveness.ALIVE
+    reported_liveness: Liveness = Liveness.ALIVE
 
     @property
     def vm(self) -> str:
@@ -91,14 +91,14 @@
         if known is None:
             self.members[record.vm] = Member(_copy(record), now, now, now)
             return True
-        old, new = _position(known.record), _position(record)
+        old, new = _version_of(known.record), _version_of(record)
         if new <= old:
             return False
         if new[0] > old[0]:
             known.beat = 0
             known.heard_at = now
-            known.run_since = now
-            known.verdict = Liveness.ALIVE
+            known.incarnation_seen_at = now
+            known.reported_liveness = Liveness.ALIVE
         known.record = _copy(record)
         known.changed_at = now
         return True
@@ -149,7 +149,7 @@
     def is_over(self, vm: str, incarnation: int, now: float) -> bool:
         """Tell whether what an incarnation held can go to others.
 
-        One that the platform took away was silent for `SILENT_S` before that
+        One that the platform took away was silent for `SILENT_AFTER_S` before that
         counted. One that was replaced may only be paused and have been heard a
         moment ago: it is given time to be silent so long that, when it wakes,
         it finds that out before it acts.
@@ -159,10 +159,10 @@
         known = self.members.get(vm)
         if known is None or known.record.incarnation <= incarnation:
             return False
-        return now - known.run_since >= REPLACED_GRACE_S
+        return now - known.incarnation_seen_at >= REPLACED_GRACE_S
 
 
-def _position(record: MemberRecord) -> tuple[int, int]:
+def _version_of(record: MemberRecord) -> tuple[int, int]:
     return record.incarnation, record.revision
 
 
--- a/packages/coordination/plantainshed_coordination/membership.py
+++ b/packages/coordination/plantainshed_coordination/membership.py
@@ -14,21 +14,21 @@
 
 from .digests import rendezvous_order
 from .identity import Identity
-from .members import NEWS_S, Liveness, MemberState, MemberTable
+from .members import RECENT_CHANGE_S, Liveness, MemberState, MemberTable
 from .network import PeerNetwork
 from .peer_pb2 import BeatDigest, Gone, Heartbeat, MemberRecord
 from .platform import Platform
 from .summaries import Summaries
 from .vm_list import VmList
 
-BEAT_S = 1.0
+HEARTBEAT_INTERVAL_S = 1.0
 TICK_S = 0.5
-SUSPECT_S = 3.0
-SILENT_S = 6.0
-PAUSE_S = 2.5
-WAKE_WAIT_S = 1.0
-LEAVING_FRESH_S = 10.0
-BEATS_A_SECOND = 8
+SUSPECT_AFTER_S = 3.0
+SILENT_AFTER_S = 6.0
+PAUSE_THRESHOLD_S = 2.5
+RESUME_TIMEOUT_S = 1.0
+LEAVING_TTL_S = 10.0
+MAX_HEARTBEATS_PER_S = 8
 
 
 @frozen
@@ -59,7 +59,7 @@
     superseded : trio.Event
         Set when this run must not act any more: a later incarnation of this VM
         is running, or the platform has taken the VM away.
-    waking : bool
+    is_resuming : bool
         Whether this run was paused and has not yet heard from anybody since.
     """
 
@@ -77,17 +77,17 @@
         self.record = record
         self.table = MemberTable()
         self.superseded = trio.Event()
-        self.waking = False
+        self.is_resuming = False
         self.beat = 0
         self.last_tick = trio.current_time()
-        self.contact_at = -SILENT_S
+        self.last_message_at = -SILENT_AFTER_S
         self.leaving_until: dict[str, float] = {}
         self.extra_of_heartbeat: Callable[[], bytes] = bytes
         self.extra_of_summary: Callable[[], bytes] = bytes
         self.on_heartbeat_extra: Callable[[str, bytes], None] = lambda vm, data: None
         self.on_summary_extra: Callable[[str, bytes], None] = lambda name, data: None
         self.on_change: list[Callable[[MemberRecord], None]] = []
-        self._kicked = trio.Event()
+        self._send_requested = trio.Event()
         self._peer_tasks: set[str] = set()
         self._domain_tasks: set[str] = set()
         self._has_been_ready = False
@@ -104,7 +104,7 @@
             nursery.start_soon(self.vm_list.run)
             while True:
                 self._start_tasks(nursery)
-                self._notice_pause(nursery)
+                self._detect_pause(nursery)
                 await trio.sleep(TICK_S)
 
     # What this VM says of itself.
@@ -120,12 +120,12 @@
             return
         self.record.revision += 1
         self._has_been_ready |= self.record.state == MemberState.READY
-        self.kick()
+        self.send_soon()
 
-    def kick(self):
+    def send_soon(self):
         """Send the next heartbeats now."""
-        self._kicked.set()
-        self._kicked = trio.Event()
+        self._send_requested.set()
+        self._send_requested = trio.Event()
 
     async def announce_leaving(self):
         """Tell the others that this VM is about to stop."""
@@ -144,9 +144,9 @@
         tick of the membership task shows how long ago that was; whoever is
         about to act asks here first, since it may run before that task does.
         """
-        if self.superseded.is_set() or self.waking:
+        if self.superseded.is_set() or self.is_resuming:
             return False
-        return trio.current_time() - self.last_tick < PAUSE_S
+        return trio.current_time() - self.last_tick < PAUSE_THRESHOLD_S
 
     def liveness(self, vm: str) -> Liveness:
         """Return what is believed of a VM."""
@@ -162,9 +162,11 @@
         now = trio.current_time()
         if member.failure_domain == self.identity.failure_domain:
             return _liveness_after(now - member.heard_at)
-        silence = now - self.table.domain_heard_at.get(member.failure_domain, -SILENT_S)
+        silence = now - self.table.domain_heard_at.get(
+            member.failure_domain, -SILENT_AFTER_S
+        )
         own_view = _liveness_after(silence)
-        return max(own_view, member.verdict, key=LIVENESS_ORDER.index)
+        return max(own_view, member.reported_liveness, key=LIVENESS_ORDER.index)
 
     def records(self) -> list[MemberRecord]:
         """Return the newest record of every VM, this one's included."""
@@ -207,7 +209,7 @@
             names.append(self.identity.vm)
         return sorted(names)
 
-    def is_among_first(self, key: str, count: int) -> bool:
+    def is_selected_for(self, key: str, count: int) -> bool:
         """Tell whether this VM is one of its domain's first for a key."""
         live = self.live_in_domain(self.identity.failure_domain)
         return self.identity.vm in rendezvous_order(key, live)[:count]
@@ -223,7 +225,7 @@
         """Return the failure domains that were heard lately, own one included."""
         now = trio.current_time()
         heard = self.table.domain_heard_at.items()
-        reachable = {name for name, at in heard if now - at < SILENT_S}
+        reachable = {name for name, at in heard if now - at < SILENT_AFTER_S}
         return reachable | {self.identity.failure_domain}
 
     def leaving_vms(self) -> list[str]:
@@ -233,7 +235,7 @@
 
     def note_leaving(self, vms):
         """Take in what a reader of the platform's list says is leaving."""
-        until = trio.current_time() + LEAVING_FRESH_S
+        until = trio.current_time() + LEAVING_TTL_S
         for vm in vms:
             if vm not in self.leaving_vms():
                 self.leaving_until[vm] = until
@@ -244,23 +246,25 @@
         for vm in self.domain_peers():
             if vm not in self._peer_tasks:
                 self._peer_tasks.add(vm)
-                nursery.start_soon(self._beat_to, vm)
+                nursery.start_soon(self._send_heartbeats_to, vm)
         for domain in self.other_domains():
             if domain not in self._domain_tasks:
                 self._domain_tasks.add(domain)
-                nursery.start_soon(self.summaries.keep_sending, domain)
+                nursery.start_soon(self.summaries.send_periodically, domain)
 
-    async def _beat_to(self, vm: str):
+    async def _send_heartbeats_to(self, vm: str):
         while self.liveness(vm) is not Liveness.GONE:
             await self.network.send(vm, "heartbeat", self._heartbeat())
             peers = len(self._peer_tasks)
-            await self.pause_or_kick(max(BEAT_S, peers / BEATS_A_SECOND))
+            await self.wait_until_next_send(
+                max(HEARTBEAT_INTERVAL_S, peers / MAX_HEARTBEATS_PER_S)
+            )
         self._peer_tasks.discard(vm)
 
-    async def pause_or_kick(self, seconds: float):
+    async def wait_until_next_send(self, seconds: float):
         """Wait for a while, or until there is news to send."""
         with trio.move_on_after(seconds):
-            await self._kicked.wait()
+            await self._send_requested.wait()
 
     def _heartbeat(self) -> Heartbeat:
         now = trio.current_time()
@@ -268,13 +272,13 @@
         heartbeat = Heartbeat(
             sender=self.record,
             beat=self.beat,
-            wants_all=now - self.contact_at > SUSPECT_S,
+            wants_all=now - self.last_message_at > SUSPECT_AFTER_S,
             extra=self.extra_of_heartbeat(),
         )
         for member in self.table.members.values():
             if member.failure_domain == self.identity.failure_domain:
                 heartbeat.digests.append(_beat_digest(member))
-            if now - member.changed_at < NEWS_S:
+            if now - member.changed_at < RECENT_CHANGE_S:
                 heartbeat.news.append(member.record)
         heartbeat.domain_beats.extend(self.table.domain_beats.values())
         heartbeat.gone.extend(self.recently_gone(now))
@@ -283,7 +287,7 @@
 
     async def _on_heartbeat(self, sender, message: Heartbeat):
         now = trio.current_time()
-        self.contact_at = now
+        self.last_message_at = now
         is_new = message.sender.vm not in self.table.members
         self.merge_record(message.sender, now)
         self.table.note_beat(
@@ -299,7 +303,7 @@
         self.merge_gone(message.gone, now)
         self.on_heartbeat_extra(message.sender.vm, message.extra)
         if message.wants_all or is_new:
-            await self.summaries.send_everything(message.sender.vm)
+            await self.summaries.send_all_records(message.sender.vm)
 
     def other_domains(self) -> list[str]:
         """Return the known failure domains without the own one."""
@@ -312,7 +316,7 @@
     def merge_record(self, record: MemberRecord, now: float) -> bool:
         """Take over a record if it is newer; return whether it was."""
         if record.vm == self.identity.vm:
-            self._meet_namesake(record.incarnation)
+            self._resolve_incarnation_conflict(record.incarnation)
             return False
         if not record.vm or not self.table.merge(record, now):
             return False
@@ -321,7 +325,7 @@
             callback(record)
         return True
 
-    def _meet_namesake(self, incarnation: int):
+    def _resolve_incarnation_conflict(self, incarnation: int):
         if incarnation <= self.identity.incarnation:
             return
         # Another run of this VM with a later incarnation exists. Before this
@@ -353,38 +357,38 @@
         return [
             Gone(vm=vm, incarnation=incarnation)
             for (vm, incarnation), at in self.table.gone.items()
-            if now - at < NEWS_S
+            if now - at < RECENT_CHANGE_S
         ]
 
     # Pauses.
 
-    def _notice_pause(self, nursery):
+    def _detect_pause(self, nursery):
         now = trio.current_time()
-        if now - self.last_tick >= PAUSE_S:
-            self.waking = True
-            self.kick()
-            nursery.start_soon(self._wake_up, now)
+        if now - self.last_tick >= PAUSE_THRESHOLD_S:
+            self.is_resuming = True
+            self.send_soon()
+            nursery.start_soon(self._finish_resuming, now)
         self.last_tick = now
 
-    async def _wake_up(self, woke_at: float):
+    async def _finish_resuming(self, resumed_at: float):
         """End the state of waking once a peer was heard, or none answers.
 
         A run that is cut off from everybody can learn nothing by waiting; it
         goes on with what it holds, which nobody else was given.
         """
-        with trio.move_on_after(WAKE_WAIT_S):
-            while self.contact_at <= woke_at:
+        with trio.move_on_after(RESUME_TIMEOUT_S):
+            while self.last_message_at <= resumed_at:
                 await trio.sleep(TICK_S / 10)
-        self.waking = False
+        self.is_resuming = False
 
 
 LIVENESS_ORDER = [Liveness.ALIVE, Liveness.SUSPECT, Liveness.SILENT, Liveness.GONE]
 
 
 def _liveness_after(silence_s: float) -> Liveness:
-    if silence_s < SUSPECT_S:
+    if silence_s < SUSPECT_AFTER_S:
         return Liveness.ALIVE
-    return Liveness.SUSPECT if silence_s < SILENT_S else Liveness.SILENT
+    return Liveness.SUSPECT if silence_s < SILENT_AFTER_S else Liveness.SILENT
 
 
 def _beat_digest(member) -> BeatDigest:
--- a/packages/coordination/plantainshed_coordination/network.py
+++ b/packages/coordination/plantainshed_coordination/network.py
@@ -14,8 +14,8 @@
 
 HandlerResult = Awaitable[object | None]
 PeerHandler = Callable[["Sender", object], HandlerResult]
-REPEATS = 2
-REMEMBERED_ANSWERS = 4096
+SEND_ATTEMPTS = 2
+MAX_CACHED_REPLIES = 4096
 
 
 class Sender:
@@ -65,8 +65,8 @@
         self.received = Counter()
         self.sent = Counter()
         self._request_ids = itertools.count(1)
-        self._waiting: dict[int, _Answer] = {}
-        self._answered: OrderedDict[tuple[str, int, int], object] = OrderedDict()
+        self._pending: dict[int, _PendingRequest] = {}
+        self._replies: OrderedDict[tuple[str, int, int], object] = OrderedDict()
 
     async def run(self):
         """Receive messages for ever; each is handled in its turn."""
@@ -106,15 +106,15 @@
         if address is None:
             raise PeerTimeout(f"{vm}: no address is known")
         request_id = next(self._request_ids)
-        answer = self._waiting[request_id] = _Answer()
+        pending = self._pending[request_id] = _PendingRequest()
         try:
-            for _ in range(REPEATS):
+            for _ in range(SEND_ATTEMPTS):
                 await self.send_to(address, field, message, request_id=request_id)
-                with trio.move_on_after(timeout_s / REPEATS):
-                    await answer.arrived.wait()
-                    return answer.message
+                with trio.move_on_after(timeout_s / SEND_ATTEMPTS):
+                    await pending.arrived.wait()
+                    return pending.message
         finally:
-            del self._waiting[request_id]
+            del self._pending[request_id]
         raise PeerTimeout(f"{vm}: no answer to {field} in {timeout_s:g} s")
 
     async def _handle(self, envelope):
@@ -124,7 +124,7 @@
         self.received[field] += 1
         message = getattr(envelope, field)
         if envelope.is_reply:
-            self._take_answer(envelope, field, message)
+            self._deliver_reply(envelope, field, message)
             return
         handler = self.handlers.get(field)
         if handler is None:
@@ -133,30 +133,30 @@
         if not envelope.request_id:
             await handler(sender, message)
             return
-        question = (envelope.vm, envelope.incarnation, envelope.request_id)
-        if question not in self._answered:
+        request_key = (envelope.vm, envelope.incarnation, envelope.request_id)
+        if request_key not in self._replies:
             # A repeated question must not be handled twice: a lender would
             # lend twice and the borrower would hear of one loan only.
-            self._remember(question, None)
-            self._remember(question, await handler(sender, message))
-        reply = self._answered[question]
+            self._cache_reply(request_key, None)
+            self._cache_reply(request_key, await handler(sender, message))
+        reply = self._replies[request_key]
         if reply is not None:
             await self._reply(envelope, reply)
 
-    def _take_answer(self, envelope, field: str, message):
+    def _deliver_reply(self, envelope, field: str, message):
         # An answer that comes after its question was given up has no waiting
         # entry left; it never reaches another one.
-        answer = self._waiting.get(envelope.request_id)
-        if answer is not None:
-            answer.message = message
-            answer.arrived.set()
+        pending = self._pending.get(envelope.request_id)
+        if pending is not None:
+            pending.message = message
+            pending.arrived.set()
         elif field in self.late_answer_handlers:
             self.late_answer_handlers[field](envelope.vm)
 
-    def _remember(self, question, reply):
-        self._answered[question] = reply
-        while len(self._answered) > REMEMBERED_ANSWERS:
-            self._answered.popitem(last=False)
+    def _cache_reply(self, request_key, reply):
+        self._replies[request_key] = reply
+        while len(self._replies) > MAX_CACHED_REPLIES:
+            self._replies.popitem(last=False)
 
     async def _reply(self, envelope, reply):
         field = FIELD_OF_TYPE[type(reply)]
@@ -167,7 +167,7 @@
             )
 
 
-class _Answer:
+class _PendingRequest:
     __slots__ = ("arrived", "message")
 
     def __init__(self):
--- a/packages/coordination/plantainshed_coordination/operations.py
+++ b/packages/coordination/plantainshed_coordination/operations.py
@@ -26,7 +26,7 @@
 MAX_ANSWERS = 512
 CLAIM_TIMEOUT_S = 0.5
 DONE_TIMEOUT_S = 1.0
-DONE_TRIES = 5
+DONE_ATTEMPTS = 5
 MAX_NONCE = 64
 SEPARATOR = "~"
 
@@ -94,7 +94,7 @@
 
 
 @define
-class RememberedOperation:
+class OperationRecord:
     """What is known of an operation that has begun.
 
     Parameters
@@ -129,7 +129,7 @@
     def __init__(self, network: PeerNetwork, membership: Membership):
         self.network = network
         self.membership = membership
-        self.epochs: dict[int, dict[str, RememberedOperation]] = {}
+        self.epochs: dict[int, dict[str, OperationRecord]] = {}
         self._answers: OrderedDict[tuple[int, str], None] = OrderedDict()
         network.handlers["claim_request"] = self._on_claim
         network.handlers["operation_done"] = self._on_done
@@ -172,19 +172,19 @@
         if answer is not None and len(answer) > MAX_ANSWER_BYTES:
             answer = None
         message = OperationDone(operation=str(operation), answer=answer or b"")
-        await self._tell(operation, message)
+        await self._notify_owner(operation, message)
 
     async def release(self, operation: OperationId):
         """Note that an operation certainly did not run; it may be tried again."""
-        await self._tell(
+        await self._notify_owner(
             operation, OperationDone(operation=str(operation), not_run=True)
         )
 
-    async def _tell(self, operation: OperationId, message: OperationDone):
+    async def _notify_owner(self, operation: OperationId, message: OperationDone):
         if self._is_own(operation):
             self._note_done(operation, message)
             return
-        for _ in range(DONE_TRIES):
+        for _ in range(DONE_ATTEMPTS):
             try:
                 await self.network.ask(
                     operation.vm, "operation_done", message, DONE_TIMEOUT_S
@@ -207,31 +207,31 @@
             # same, and only one of them may run.
             return Claim(Verdict.UNKNOWN)
         known = self.epochs.setdefault(operation.epoch, {})
-        remembered = known.get(operation.nonce)
-        if remembered is None:
-            known[operation.nonce] = RememberedOperation(runner)
+        record = known.get(operation.nonce)
+        if record is None:
+            known[operation.nonce] = OperationRecord(runner)
             return Claim(Verdict.RUN)
-        if remembered.done:
-            return Claim(Verdict.DONE, remembered.answer)
-        if self._is_over(remembered.runner):
+        if record.done:
+            return Claim(Verdict.DONE, record.answer)
+        if self._is_runner_gone(record.runner):
             return Claim(Verdict.UNKNOWN)
         return Claim(Verdict.IN_PROGRESS)
 
-    def _is_over(self, runner: str) -> bool:
+    def _is_runner_gone(self, runner: str) -> bool:
         vm, _, incarnation = runner.rpartition(SEPARATOR)
         return self.membership.table.is_gone(vm, int(incarnation))
 
     def _note_done(self, operation: OperationId, message: OperationDone):
         known = self.epochs.get(operation.epoch, {})
-        remembered = known.get(operation.nonce)
-        if remembered is None:
+        record = known.get(operation.nonce)
+        if record is None:
             return
         if message.not_run:
-            if not remembered.done:
+            if not record.done:
                 del known[operation.nonce]
             return
-        remembered.done = True
-        remembered.answer = message.answer or None
+        record.done = True
+        record.answer = message.answer or None
         self._answers[operation.epoch, operation.nonce] = None
         while len(self._answers) > MAX_ANSWERS:
             (old_epoch, nonce), _ = self._answers.popitem(last=False)
--- a/packages/coordination/plantainshed_coordination/rumors.py
+++ b/packages/coordination/plantainshed_coordination/rumors.py
@@ -21,8 +21,8 @@
 
 REPEAT_DELAYS_S = (0.0, 0.3, 1.0, 3.0)
 REPAIR_PERIOD_S = 1.0
-REPAIRERS = 1
-BATCH = 200
+REPAIRERS_PER_DOMAIN = 1
+BATCH_SIZE = 200
 FOREVER = math.inf
 RECEIVERS_IN_OTHER_DOMAINS = 2
 
@@ -72,7 +72,7 @@
         self.heard: dict[RumorKey, HeardRumor] = {}
         self.listeners: dict[str, Callable[[str, HeardRumor], None]] = {}
         self._digest = 0
-        self._to_spread, self._spreading = trio.open_memory_channel(math.inf)
+        self._spread_sender, self._spread_receiver = trio.open_memory_channel(math.inf)
         network.handlers["rumors"] = self._on_rumors
 
     async def run(self):
@@ -80,7 +80,7 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._repair)
             while True:
-                key = await self._spreading.receive()
+                key = await self._spread_receiver.receive()
                 nursery.start_soon(self._flood, key)
 
     def begin(
@@ -92,7 +92,7 @@
         stamp = known.stamp + 1 if known and ttl_s != FOREVER else 1
         expires_at = trio.current_time() + ttl_s
         origin = self.membership.identity.vm
-        return self._learn(key, HeardRumor(stamp, value, expires_at, origin))
+        return self._merge(key, HeardRumor(stamp, value, expires_at, origin))
 
     def knows(self, topic: str, name: str) -> bool:
         """Tell whether an unexpired rumor is known."""
@@ -125,7 +125,7 @@
         """Digest of all permanent rumors, the same whatever their order."""
         return self._digest
 
-    def _learn(self, key: RumorKey, rumor: HeardRumor) -> bool:
+    def _merge(self, key: RumorKey, rumor: HeardRumor) -> bool:
         known = self.heard.get(key)
         if known is not None and rumor.stamp <= known.stamp:
             return False
@@ -138,7 +138,7 @@
         listener = self.listeners.get(key.topic)
         if listener is not None:
             listener(key.name, rumor)
-        self._to_spread.send_nowait(key)
+        self._spread_sender.send_nowait(key)
         return True
 
     async def _flood(self, key: RumorKey):
@@ -182,7 +182,7 @@
     async def _on_rumors(self, sender, message: RumorsMessage):
         now = trio.current_time()
         for item in message.rumors:
-            self._learn(
+            self._merge(
                 RumorKey(item.topic, item.name),
                 HeardRumor(item.stamp, item.value, now + item.ttl_s, item.origin),
             )
@@ -199,20 +199,20 @@
             for record in self.membership.records():
                 if record.tombstone_digest == self._digest:
                     continue
-                if self._is_mine_to_repair(record):
+                if self._should_repair(record):
                     await self.send_all(record.vm)
 
-    def _is_mine_to_repair(self, record: MemberRecord) -> bool:
+    def _should_repair(self, record: MemberRecord) -> bool:
         membership = self.membership
         if membership.liveness(record.vm) not in (Liveness.ALIVE, Liveness.SUSPECT):
             return False
         if record.failure_domain == membership.identity.failure_domain:
             return True
-        return membership.is_among_first(record.vm, REPAIRERS)
+        return membership.is_selected_for(record.vm, REPAIRERS_PER_DOMAIN)
 
     async def send_all(self, vm: str):
         """Send a VM everything that is known."""
         keys = list(self.heard)
-        for start in range(0, len(keys), BATCH):
-            message = self._message(keys[start : start + BATCH])
+        for start in range(0, len(keys), BATCH_SIZE):
+            message = self._message(keys[start : start + BATCH_SIZE])
             await self.network.send(vm, "rumors", message)
--- a/packages/coordination/plantainshed_coordination/summaries.py
+++ b/packages/coordination/plantainshed_coordination/summaries.py
@@ -9,15 +9,15 @@
 import trio
 
 from .digests import rendezvous_order
-from .members import NEWS_S, Liveness
+from .members import RECENT_CHANGE_S, Liveness
 from .peer_pb2 import DomainBeat, Summary
 
 if TYPE_CHECKING:
     from .membership import Membership
 
 PERIOD_S = 1.0
-DELEGATES = 2
-FULL_EVERY = 5
+DELEGATES_PER_DOMAIN = 2
+FULL_SUMMARY_EVERY = 5
 
 
 class Summaries:
@@ -28,24 +28,24 @@
         self.beat = 0
         membership.network.handlers["summary"] = self._on_summary
 
-    async def keep_sending(self, domain: str):
+    async def send_periodically(self, domain: str):
         """Send to a failure domain, whenever this VM is a delegate for it."""
         while True:
-            if self.membership.is_among_first(domain, DELEGATES):
+            if self.membership.is_selected_for(domain, DELEGATES_PER_DOMAIN):
                 await self.send(domain)
-            await self.membership.pause_or_kick(PERIOD_S)
+            await self.membership.wait_until_next_send(PERIOD_S)
 
     async def send(self, domain: str):
         """Send one summary of the own failure domain to another."""
         self.beat += 1
-        full = self.beat % FULL_EVERY == 0 or (
+        full = self.beat % FULL_SUMMARY_EVERY == 0 or (
             domain not in self.membership.reachable_domains()
         )
         summary = self._summary_of(self.membership.identity.failure_domain, full)
         for vm in self._receivers_in(domain):
             await self.membership.network.send(vm, "summary", summary)
 
-    async def send_everything(self, vm: str):
+    async def send_all_records(self, vm: str):
         """Send a newcomer all records, one summary for each failure domain."""
         membership = self.membership
         for domain in [membership.identity.failure_domain, *membership.other_domains()]:
@@ -81,7 +81,7 @@
         for member in membership.table.members.values():
             if member.failure_domain != domain:
                 continue
-            if full or now - member.changed_at < NEWS_S:
+            if full or now - member.changed_at < RECENT_CHANGE_S:
                 summary.members.append(member.record)
             liveness = membership.liveness(member.vm)
             if liveness is Liveness.SUSPECT:
@@ -105,7 +105,7 @@
         membership = self.membership
         own_domain = membership.identity.failure_domain
         now = trio.current_time()
-        membership.contact_at = now
+        membership.last_message_at = now
         from_outside = message.sender.failure_domain != own_domain
         changed = membership.merge_record(message.sender, now)
         for record in message.members:
@@ -113,28 +113,28 @@
         if message.failure_domain != own_domain:
             if message.origin.vm:
                 membership.table.note_domain_beat(message.origin, now)
-            changed |= self._take_verdicts(message)
+            changed |= self._apply_reported_liveness(message)
         changed |= membership.merge_gone(message.gone, now)
         membership.note_leaving(message.leaving)
         membership.on_summary_extra(message.failure_domain, message.extra)
         if from_outside and (changed or message.extra):
-            await self._pass_on(message)
+            await self._forward(message)
 
-    async def _pass_on(self, message: Summary):
+    async def _forward(self, message: Summary):
         message.sender.CopyFrom(self.membership.record)
         for vm in self.membership.domain_peers():
             await self.membership.network.send(vm, "summary", message)
 
-    def _take_verdicts(self, message: Summary) -> bool:
+    def _apply_reported_liveness(self, message: Summary) -> bool:
         changed = False
         for member in self.membership.table.members.values():
             if member.failure_domain != message.failure_domain:
                 continue
-            verdict = Liveness.ALIVE
+            reported = Liveness.ALIVE
             if member.vm in message.suspects:
-                verdict = Liveness.SUSPECT
+                reported = Liveness.SUSPECT
             elif member.vm in message.silent:
-                verdict = Liveness.SILENT
-            changed |= verdict is not member.verdict
-            member.verdict = verdict
+                reported = Liveness.SILENT
+            changed |= reported is not member.reported_liveness
+            member.reported_liveness = reported
         return changed
--- a/packages/coordination/plantainshed_coordination/versioned.py
+++ b/packages/coordination/plantainshed_coordination/versioned.py
@@ -186,7 +186,7 @@
             change, with the same id, can safely be tried again.
         """
         digests = {n: content_digest(text) for n, text in change.segments.items()}
-        failure = None
+        last_error = None
         for attempt in range(COMMIT_ATTEMPTS):
             if attempt:
                 await trio.sleep(RETRY_DELAY_S * attempt)
@@ -196,10 +196,10 @@
                 # A lost answer shows as a change that seems to have failed,
                 # and a blind second try as a change applied twice. The next
                 # attempt reads the root first and finds its own change id.
-                failure = error
+                last_error = error
         raise CommitUnconfirmed(
-            f"the store did not confirm change {change.change_id}: {failure}"
-        ) from failure
+            f"the store did not confirm change {change.change_id}: {last_error}"
+        ) from last_error
 
     async def _commit_once(self, change: Change, digests: dict[str, str]) -> Revision:
         root = await self.root()
@@ -230,9 +230,9 @@
     async def _store_new_segments(
         self, change: Change, digests: dict[str, str], parent: Revision
     ):
-        kept = set(parent.segments.values())
+        existing = set(parent.segments.values())
         for name, text in change.segments.items():
-            if digests[name] not in kept:
+            if digests[name] not in existing:
                 await self._create(SEGMENT_KIND, digests[name], text)
 
     async def _create(self, kind: str, name: str, value: bytes):
--- a/packages/coordination/plantainshed_coordination/vm_list.py
+++ b/packages/coordination/plantainshed_coordination/vm_list.py
@@ -17,7 +17,7 @@
     from .membership import Membership
 
 PERIOD_S = 2.0
-READERS = 2
+READERS_PER_DOMAIN = 2
 
 
 class VmList:
@@ -25,25 +25,25 @@
 
     Attributes
     ----------
-    was_listed : set of (str, int)
+    seen_runs : set of (str, int)
         Runs that the list has shown, as VM and incarnation.
     """
 
     def __init__(self, membership: "Membership", platform: Platform):
         self.membership = membership
         self.platform = platform
-        self.was_listed: set[tuple[str, int]] = set()
+        self.seen_runs: set[tuple[str, int]] = set()
 
     async def run(self):
         """Read the list until cancelled, if this VM is one of its readers."""
         while True:
             await trio.sleep(PERIOD_S)
-            if not self.membership.is_among_first("vm-list", READERS):
+            if not self.membership.is_selected_for("vm-list", READERS_PER_DOMAIN):
                 continue
             with contextlib.suppress(PlatformError):
-                self._take(await self.platform.list_vms())
+                self._apply(await self.platform.list_vms())
 
-    def _take(self, listed: list[ListedVm]):
+    def _apply(self, listed: list[ListedVm]):
         now = trio.current_time()
         names = {item.vm for item in listed}
         self.membership.note_leaving(item.vm for item in listed if item.leaving)
@@ -51,10 +51,10 @@
             run = (member.vm, member.record.incarnation)
             silent = self.membership.liveness(member.vm) is Liveness.SILENT
             if member.vm in names:
-                self.was_listed.add(run)
-            elif run in self.was_listed and silent:
+                self.seen_runs.add(run)
+            elif run in self.seen_runs and silent:
                 # The list lags: a VM that it does not show may be too new for
                 # it. Only one that it showed, that it dropped, and that is
                 # silent is certain to be gone.
                 self.membership.table.note_gone(*run, now)
-        self.membership.kick()
+        self.membership.send_soon()
--- a/tests/coordination/test_follower.py
+++ b/tests/coordination/test_follower.py
@@ -9,7 +9,7 @@
     PeerTimeout,
     PlatformUnavailable,
 )
-from plantainshed_coordination.follower import CONFIRM_S, WATCHERS, DocumentFollower
+from plantainshed_coordination.follower import STORE_POLL_S, WATCHERS, DocumentFollower
 from plantainshed_coordination.versioned import (
     ROOT_KIND,
     SEGMENT_KIND,
@@ -19,7 +19,7 @@
 from tests.support import FOUR_VMS, PartsFleet, on_mock_clock
 
 
-class FollowingFleet:
+class FollowerFleet:
     """A fleet whose VMs follow a document."""
 
     def __init__(self):
@@ -55,7 +55,7 @@
 class TestDocumentFollower(unittest.TestCase):
     @on_mock_clock
     async def test_reaches_everybody_within_seconds(self):
-        following = FollowingFleet()
+        following = FollowerFleet()
         async with following.fleet.running() as vms:
             for vm in vms:
                 following.follow(vm)
@@ -67,7 +67,7 @@
     @on_mock_clock
     async def test_fresh_vm_starts_from_a_peer_while_the_store_is_down(self):
         """After a replacement during a store outage a VM serves nobody."""
-        following = FollowingFleet()
+        following = FollowerFleet()
         async with following.fleet.running() as vms:
             for vm in vms:
                 following.follow(vm)
@@ -82,7 +82,7 @@
 
     @on_mock_clock
     async def test_never_goes_back(self):
-        following = FollowingFleet()
+        following = FollowerFleet()
         async with following.fleet.running() as vms:
             for vm in vms:
                 following.follow(vm)
@@ -104,7 +104,7 @@
         Something writes a document that no checker has seen; each VM must
         keep what it has, say so, and take the next good one.
         """
-        following = FollowingFleet()
+        following = FollowerFleet()
         async with following.fleet.running() as vms:
             for vm in vms:
                 following.follow(vm)
@@ -121,14 +121,14 @@
     @on_mock_clock
     async def test_frozen_peer_keeps_no_other_from_being_asked(self):
         """A version that several peers had came 5 s late, the time of one call."""
-        following = FollowingFleet()
+        following = FollowerFleet()
         async with following.fleet.running() as vms:
             for vm in vms:
                 following.follow(vm)
             for vm in ("b-1", "b-2"):
                 follower = following.followers[vm]
-                follower.store = DocumentStore(DeadPlatform())
-                follower.bulk = FirstAskedIsFrozen(follower.bulk)
+                follower.store = DocumentStore(UnavailablePlatform())
+                follower.bulk = FirstPeerHangs(follower.bulk)
             await trio.sleep(3)
             await following.commit(1, b"one")
             await trio.sleep(4)
@@ -137,7 +137,7 @@
     @on_mock_clock
     async def test_version_whose_segments_could_not_be_read_is_read_again(self):
         """A version met a short outage and was put in force with the next one only."""
-        following = FollowingFleet()
+        following = FollowerFleet()
         async with following.fleet.running() as vms:
             platform = FaultyReads(following.fleet.platform)
             for vm in vms:
@@ -154,25 +154,25 @@
     @on_mock_clock
     async def test_version_is_found_though_no_watch_is_answered(self):
         """Every VM kept an old document for as long as a watch may wait."""
-        following = FollowingFleet()
+        following = FollowerFleet()
         async with following.fleet.running() as vms:
             platform = FaultyReads(following.fleet.platform)
-            platform.takes_watches = False
+            platform.answers_watches = False
             for vm in vms:
                 following.follow(vm)
                 following.followers[vm].store = DocumentStore(platform)
             await trio.sleep(3)
             await following.commit(1, b"one")
-            await trio.sleep(CONFIRM_S + 1)
+            await trio.sleep(STORE_POLL_S + 1)
             self.assertEqual(set(following.versions().values()), {1})
             platform.root_reads = 0
             await trio.sleep(60)
-            self.assertLessEqual(platform.root_reads, 60 / CONFIRM_S * WATCHERS * 2)
+            self.assertLessEqual(platform.root_reads, 60 / STORE_POLL_S * WATCHERS * 2)
 
     @on_mock_clock
     async def test_quiet_store_that_answers_is_not_silent(self):
         """A store with nothing to tell counted as silent, an incident, after 75 s."""
-        following = FollowingFleet()
+        following = FollowerFleet()
         async with following.fleet.running() as vms:
             for vm in vms:
                 following.follow(vm)
@@ -180,24 +180,24 @@
             await trio.sleep(200)
             follower = following.followers["a-1"]
             silence_s = trio.current_time() - follower.store_heard_at
-            self.assertLessEqual(silence_s, CONFIRM_S + 1)
+            self.assertLessEqual(silence_s, STORE_POLL_S + 1)
 
     @on_mock_clock
     async def test_domain_cut_off_from_the_store_hears_from_others(self):
-        following = FollowingFleet()
+        following = FollowerFleet()
         async with following.fleet.running() as vms:
             for vm in vms:
                 following.follow(vm)
             await trio.sleep(3)
             for vm in ("b-1", "b-2"):
-                following.followers[vm].store = DocumentStore(DeadPlatform())
+                following.followers[vm].store = DocumentStore(UnavailablePlatform())
             await trio.sleep(1)
             await following.commit(1, b"one")
             await trio.sleep(4)
             self.assertEqual(set(following.versions().values()), {1})
 
 
-class FirstAskedIsFrozen:
+class FirstPeerHangs:
     """Fetches from peers, of which the first that is asked gives no answer."""
 
     def __init__(self, bulk):
@@ -212,7 +212,7 @@
         return await self.bulk.fetch(address, name)
 
 
-class DeadPlatform:
+class UnavailablePlatform:
     """A platform that never answers a watch and refuses the rest."""
 
     async def get(self, kind, name):
@@ -229,7 +229,7 @@
     ----------
     has_segments : bool
         Whether segments of the document can be read.
-    takes_watches : bool
+    answers_watches : bool
         Whether watches are ever answered.
     root_reads : int
     """
@@ -237,7 +237,7 @@
     def __init__(self, platform):
         self.platform = platform
         self.has_segments = True
-        self.takes_watches = True
+        self.answers_watches = True
         self.root_reads = 0
 
     async def get(self, kind, name):
@@ -247,6 +247,6 @@
         return await self.platform.get(kind, name)
 
     async def wait_for_change(self, kind, name, known_version):
-        if not self.takes_watches:
+        if not self.answers_watches:
             await trio.sleep_forever()
         return await self.platform.wait_for_change(kind, name, known_version)
--- a/tests/coordination/test_membership.py
+++ b/tests/coordination/test_membership.py
@@ -5,7 +5,7 @@
 import trio
 
 from plantainshed_coordination.members import Liveness
-from plantainshed_coordination.membership import PAUSE_S, SILENT_S
+from plantainshed_coordination.membership import PAUSE_THRESHOLD_S, SILENT_AFTER_S
 from plantainshed_coordination.platform import ListedVm
 from tests.support import FOUR_VMS, PartsFleet, on_mock_clock
 
@@ -80,7 +80,7 @@
             await trio.sleep(5)
             view = vms["a-1"].membership
             self.assertTrue(view.is_awake())
-            view.last_tick -= PAUSE_S
+            view.last_tick -= PAUSE_THRESHOLD_S
             self.assertFalse(view.is_awake())
             await trio.sleep(2)
             self.assertTrue(view.is_awake())
@@ -118,7 +118,7 @@
         async with fleet.running() as vms:
             await trio.sleep(5)
             fleet.kill("a-1")
-            await trio.sleep(SILENT_S)
+            await trio.sleep(SILENT_AFTER_S)
             fleet.incarnation = 0
             vms["a-1"] = fleet.start("a-1")
             vms["a-1"].membership._has_been_ready = False
