--- a/packages/coordination/plantainshed_coordination/membership.py
+++ b/packages/coordination/plantainshed_coordination/membership.py
@@ -82,7 +82,7 @@
         self.last_tick = trio.current_time()
         self.last_message_at = -SILENT_AFTER_S
         self.leaving_until: dict[str, float] = {}
-        self.extra_of_heartbeat: Callable[[], bytes] = bytes
+        self.make_heartbeat_extra: Callable[[], bytes] = bytes
         self.extra_of_summary: Callable[[], bytes] = bytes
         self.on_heartbeat_extra: Callable[[str, bytes], None] = lambda vm, data: None
         self.on_summary_extra: Callable[[str, bytes], None] = lambda name, data: None
@@ -273,7 +273,7 @@
             sender=self.record,
             beat=self.beat,
             wants_all=now - self.last_message_at > SUSPECT_AFTER_S,
-            extra=self.extra_of_heartbeat(),
+            extra=self.make_heartbeat_extra(),
         )
         for member in self.table.members.values():
             if member.failure_domain == self.identity.failure_domain:
