--- a/packages/coordination/plantainshed_coordination/membership.py
+++ b/packages/coordination/plantainshed_coordination/membership.py
@@ -83,7 +83,7 @@
         self.last_message_at = -SILENT_AFTER_S
         self.leaving_until: dict[str, float] = {}
         self.make_heartbeat_extra: Callable[[], bytes] = bytes
-        self.extra_of_summary: Callable[[], bytes] = bytes
+        self.make_summary_extra: Callable[[], bytes] = bytes
         self.on_heartbeat_extra: Callable[[str, bytes], None] = lambda vm, data: None
         self.on_summary_extra: Callable[[str, bytes], None] = lambda name, data: None
         self.on_change: list[Callable[[MemberRecord], None]] = []
--- a/packages/coordination/plantainshed_coordination/summaries.py
+++ b/packages/coordination/plantainshed_coordination/summaries.py
@@ -73,7 +73,7 @@
         summary = Summary(failure_domain=domain, sender=membership.record)
         if domain == membership.identity.failure_domain:
             summary.members.append(membership.record)
-            summary.extra = membership.extra_of_summary()
+            summary.extra = membership.make_summary_extra()
             summary.origin.CopyFrom(self._own_beat())
         else:
             newest = membership.table.newest_beat(domain)
--- a/packages/entry/plantainshed_entry/node.py
+++ b/packages/entry/plantainshed_entry/node.py
@@ -134,7 +134,7 @@
         self.holdings.choose_from_group = self.routing.choose_to_lend
         self.membership.make_heartbeat_extra = self._news_for_domain
         self.membership.on_heartbeat_extra = self._take_domain_news
-        self.membership.extra_of_summary = self._load_for_domains
+        self.membership.make_summary_extra = self._load_for_domains
         self.membership.on_summary_extra = self._take_domain_load
         self.rumors.listeners[KEY_WITHDRAWN_TOPIC] = self._on_key_withdrawn
 
