--- a/packages/coordination/plantainshed_coordination/operations.py
+++ b/packages/coordination/plantainshed_coordination/operations.py
@@ -119,7 +119,7 @@
     answer: bytes | None = None
 
 
-class OperationBook:
+class OperationRegistry:
     """Remembers this run's operations, and claims those of others.
 
     Memory: about 200 bytes an operation for up to `EPOCHS_REMEMBERED` epochs,
--- a/packages/entry/plantainshed_entry/node.py
+++ b/packages/entry/plantainshed_entry/node.py
@@ -18,7 +18,7 @@
 from plantainshed_coordination.members import MemberState
 from plantainshed_coordination.membership import Membership, SeedMember
 from plantainshed_coordination.network import PeerNetwork
-from plantainshed_coordination.operations import OperationBook
+from plantainshed_coordination.operations import OperationRegistry
 from plantainshed_coordination.peer_pb2 import MemberRecord
 from plantainshed_coordination.rebalancer import Rebalancer
 from plantainshed_coordination.rumors import RumorBook
@@ -87,7 +87,7 @@
         self.reporter = DemandReporter(
             self.network, self.membership, self.holdings, self.rebalancers
         )
-        self.operations = OperationBook(self.network, self.membership)
+        self.operations = OperationRegistry(self.network, self.membership)
         self.targets = TargetTable(self.holdings, order)
         self.loads = LoadBoard(settings.failure_domain)
         self.steering = Steering(self.membership, self.targets, self.loads)
--- a/packages/entry/plantainshed_entry/serving.py
+++ b/packages/entry/plantainshed_entry/serving.py
@@ -13,8 +13,8 @@
 from plantainshed_coordination.membership import Membership
 from plantainshed_coordination.operations import (
     BadOperationId,
-    OperationBook,
     OperationId,
+    OperationRegistry,
     Verdict,
 )
 from plantainshed_http.messages import RequestHead
@@ -64,7 +64,7 @@
         membership: Membership,
         admission: Admission,
         attempts: Attempts,
-        operations: OperationBook,
+        operations: OperationRegistry,
         loads: LoadBoard,
         lookup: Lookup,
         facts: Facts,
--- a/tests/coordination/test_operations.py
+++ b/tests/coordination/test_operations.py
@@ -25,7 +25,7 @@
                 OperationId.parse(text)
 
 
-class TestOperationBook(unittest.TestCase):
+class TestOperationRegistry(unittest.TestCase):
     @on_mock_clock
     async def test_repeat_at_another_vm_gets_the_first_answer(self):
         fleet = PartsFleet(FOUR_VMS)
--- a/tests/support.py
+++ b/tests/support.py
@@ -14,7 +14,7 @@
 from plantainshed_coordination.members import MemberState
 from plantainshed_coordination.membership import Membership, SeedMember
 from plantainshed_coordination.network import PeerNetwork
-from plantainshed_coordination.operations import OperationBook
+from plantainshed_coordination.operations import OperationRegistry
 from plantainshed_coordination.peer_pb2 import MemberRecord
 from plantainshed_coordination.platform import ListedVm
 from plantainshed_coordination.rebalancer import Rebalancer
@@ -82,7 +82,7 @@
         self.holdings = Holdings(self.network, self.membership.is_awake)
         self.holdings.set_specs(fleet.specs)
         self.lending = Lending(self.network, self.membership, self.holdings)
-        self.operations = OperationBook(self.network, self.membership)
+        self.operations = OperationRegistry(self.network, self.membership)
         self.rebalancers = {
             shard: Rebalancer(
                 shard, self.platform, self.network, self.membership, self.holdings
