--- a/packages/coordination/plantainshed_coordination/signals.py
+++ b/packages/coordination/plantainshed_coordination/signals.py
@@ -6,7 +6,7 @@
 
 import trio
 
-STOPS = (signal.SIGTERM, signal.SIGINT)
+STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
 
 @contextlib.contextmanager
@@ -19,14 +19,14 @@
     would otherwise end as one that failed to stop.
     """
     early: list[int] = []
-    for number in STOPS:
+    for number in STOP_SIGNALS:
         # What the receiver puts back when it closes, in place of the default.
         signal.signal(number, lambda number, _: early.append(number))
     try:
-        with trio.open_signal_receiver(*STOPS, signal.SIGHUP) as received:
+        with trio.open_signal_receiver(*STOP_SIGNALS, signal.SIGHUP) as received:
             for number in early:
                 signal.raise_signal(number)
             yield received
     finally:
-        for number in STOPS:
+        for number in STOP_SIGNALS:
             signal.signal(number, signal.SIG_IGN)
--- a/tests/entry/test_signals.py
+++ b/tests/entry/test_signals.py
@@ -12,7 +12,7 @@
 import trio
 
 from plantainshed.demo.deployment import free_address
-from plantainshed_coordination.signals import STOPS
+from plantainshed_coordination.signals import STOP_SIGNALS
 from plantainshed_coordination.versioned import Change, DocumentStore
 from plantainshed_entry.daemon import run_until_signalled
 from plantainshed_entry.settings import parse_settings
@@ -195,7 +195,7 @@
             await trio.sleep(0.05)
             ended.append("as planned")
 
-        for number in STOPS:
+        for number in STOP_SIGNALS:
             # The run leaves them ignored, for its process is about to end.
             self.addCleanup(signal.signal, number, signal.getsignal(number))
         text = make_settings_text(free_address()) + "[log]\nlevel = error\n"
