--- a/packages/coordination/plantainshed_coordination/leases.py
+++ b/packages/coordination/plantainshed_coordination/leases.py
@@ -71,7 +71,7 @@
         return trio.current_time() - self.renewed_at < self.ttl_s
 
     @property
-    def renewal_s(self) -> float:
+    def renew_interval_s(self) -> float:
         """How often to call `try_hold`, in seconds."""
         return self.ttl_s / 3
 
--- a/packages/coordination/plantainshed_coordination/rebalancer.py
+++ b/packages/coordination/plantainshed_coordination/rebalancer.py
@@ -89,7 +89,7 @@
         while True:
             await self._try_lease()
             if self.lease.is_held:
-                await trio.sleep(self.lease.renewal_s)
+                await trio.sleep(self.lease.renew_interval_s)
             else:
                 rank = self._rank(candidates())
                 await trio.sleep(min(CANDIDACY_MAX_S, CANDIDACY_BASE_S * 2**rank))
