--- a/packages/coordination/plantainshed_coordination/leases.py
+++ b/packages/coordination/plantainshed_coordination/leases.py
@@ -58,7 +58,7 @@
         self.name = name
         self.holder = holder
         self.ttl_s = ttl_s
-        self.seen: ObservedLease | None = None
+        self.observed: ObservedLease | None = None
         self.renewed_at = -ttl_s
 
     @property
@@ -104,25 +104,25 @@
         try:
             stored = await self.platform.get(LEASE_KIND, self.name)
         except ObjectMissing:
-            self.seen = ObservedLease(FREE, ABSENT, trio.current_time())
+            self.observed = ObservedLease(FREE, ABSENT, trio.current_time())
             return
-        if self.seen is None or self.seen.version != stored.version:
+        if self.observed is None or self.observed.version != stored.version:
             holder = json.loads(stored.value)["holder"]
-            self.seen = ObservedLease(holder, stored.version, trio.current_time())
+            self.observed = ObservedLease(holder, stored.version, trio.current_time())
 
     def _can_acquire(self) -> bool:
-        if self.seen.holder in (FREE, self.holder):
+        if self.observed.holder in (FREE, self.holder):
             return True
-        return trio.current_time() - self.seen.observed_at >= self.ttl_s
+        return trio.current_time() - self.observed.observed_at >= self.ttl_s
 
     async def _write(self, holder: str):
         value = json.dumps({"holder": holder}).encode()
         try:
             version = await self.platform.put(
-                LEASE_KIND, self.name, value, self.seen.version
+                LEASE_KIND, self.name, value, self.observed.version
             )
         except VersionConflict:
-            self.seen = None
+            self.observed = None
             self.renewed_at = -self.ttl_s
             raise
-        self.seen = ObservedLease(holder, version, trio.current_time())
+        self.observed = ObservedLease(holder, version, trio.current_time())
--- a/packages/coordination/plantainshed_coordination/rebalancer.py
+++ b/packages/coordination/plantainshed_coordination/rebalancer.py
@@ -109,8 +109,8 @@
             if not was_held:
                 self.ledger = None
                 self.levels = {}
-        elif self.lease.seen and self.lease.seen.holder:
-            vm, _ = split_holder(self.lease.seen.holder)
+        elif self.lease.observed and self.lease.observed.holder:
+            vm, _ = split_holder(self.lease.observed.holder)
             self.holdings.rebalancer_of[self.shard] = vm
 
     async def _try_rebalance(self):
