--- a/packages/coordination/plantainshed_coordination/leases.py
+++ b/packages/coordination/plantainshed_coordination/leases.py
@@ -89,7 +89,7 @@
         self.renewed_at = began_at
         return True
 
-    async def give_back(self):
+    async def release(self):
         """Let somebody else have it at once, on a planned stop."""
         if not self.is_held:
             return
--- a/packages/entry/plantainshed_entry/node.py
+++ b/packages/entry/plantainshed_entry/node.py
@@ -290,7 +290,7 @@
         await self.reporter.report_all()
         for rebalancer in self.rebalancers.values():
             with contextlib.suppress(PlatformError):
-                await rebalancer.lease.give_back()
+                await rebalancer.lease.release()
         await self.membership.announce_leaving()
 
 
--- a/tests/coordination/test_leases.py
+++ b/tests/coordination/test_leases.py
@@ -64,5 +64,5 @@
         platform = MemoryPlatform()
         first, second = (Lease(platform, "x", name) for name in ("a~1", "b~1"))
         await first.try_hold()
-        await first.give_back()
+        await first.release()
         self.assertTrue(await second.try_hold())
