--- a/packages/coordination/plantainshed_coordination/members.py
+++ b/packages/coordination/plantainshed_coordination/members.py
@@ -146,7 +146,7 @@
         superseded = known is not None and known.record.incarnation > incarnation
         return superseded or (vm, incarnation) in self.gone
 
-    def is_over(self, vm: str, incarnation: int, now: float) -> bool:
+    def is_reclaimable(self, vm: str, incarnation: int, now: float) -> bool:
         """Tell whether what an incarnation held can go to others.
 
         One that the platform took away was silent for `SILENT_AFTER_S` before that
--- a/packages/coordination/plantainshed_coordination/rebalance_plan.py
+++ b/packages/coordination/plantainshed_coordination/rebalance_plan.py
@@ -129,7 +129,7 @@
         it only be paused, it finds on waking that it was and stops.
         """
         now = trio.current_time()
-        return self.membership.table.is_over(*split_holder(holder), now)
+        return self.membership.table.is_reclaimable(*split_holder(holder), now)
 
     def _is_worth_it(self, spec: BudgetSpec, entry: LedgerEntry, target) -> bool:
         if entry.total != spec.units or entry.held < sum(target.values()):
