--- a/packages/coordination/plantainshed_coordination/rumors.py
+++ b/packages/coordination/plantainshed_coordination/rumors.py
@@ -83,7 +83,7 @@
                 key = await self._spread_receiver.receive()
                 nursery.start_soon(self._flood, key)
 
-    def begin(
+    def publish(
         self, topic: str, name: str, value: bytes = b"", ttl_s: float = FOREVER
     ) -> bool:
         """Begin a rumor, or renew it; return whether it is new here."""
--- a/packages/entry/plantainshed_entry/node.py
+++ b/packages/entry/plantainshed_entry/node.py
@@ -224,7 +224,7 @@
 
     def withdraw_key(self, key_id: str):
         """Stop a key here and begin to stop it everywhere."""
-        self.rumors.begin(KEY_WITHDRAWN_TOPIC, key_id)
+        self.rumors.publish(KEY_WITHDRAWN_TOPIC, key_id)
 
     def _on_key_withdrawn(self, key_id: str, rumor):
         cut = self.serving.cancel_key(key_id)
--- a/packages/entry/plantainshed_entry/poison.py
+++ b/packages/entry/plantainshed_entry/poison.py
@@ -56,12 +56,12 @@
             return
         how = ALONE if alone else TOGETHER
         name = SEPARATOR.join((mark, how, target))
-        self.rumors.begin(MARK_TOPIC, name, ttl_s=MARK_TTL_S)
+        self.rumors.publish(MARK_TOPIC, name, ttl_s=MARK_TTL_S)
 
     def note_success(self, mark: str):
         """Note that a request was answered: it is not what kills targets."""
         if mark in self.marks:
-            self.rumors.begin(CLEAR_TOPIC, mark, ttl_s=CLEAR_TTL_S)
+            self.rumors.publish(CLEAR_TOPIC, mark, ttl_s=CLEAR_TTL_S)
 
     def is_marked(self, mark: str) -> bool:
         """Tell whether a target died while it ran such a request."""
--- a/tests/coordination/test_rumors.py
+++ b/tests/coordination/test_rumors.py
@@ -14,7 +14,7 @@
         async with fleet.running() as vms:
             await trio.sleep(5)
             await fleet.platform.set_down(True)
-            vms["a-1"].rumors.begin("key-withdrawn", "k1")
+            vms["a-1"].rumors.publish("key-withdrawn", "k1")
             await trio.sleep(1)
             for vm in vms.values():
                 self.assertTrue(vm.rumors.knows("key-withdrawn", "k1"))
@@ -30,7 +30,7 @@
         async with fleet.running() as vms:
             await trio.sleep(5)
             fleet.cut(["a-1", "a-2"], ["b-1", "b-2"])
-            vms["a-1"].rumors.begin("key-withdrawn", "k1")
+            vms["a-1"].rumors.publish("key-withdrawn", "k1")
             await trio.sleep(300)
             self.assertFalse(vms["b-2"].rumors.knows("key-withdrawn", "k1"))
             fleet.heal()
@@ -43,7 +43,7 @@
         fleet = PartsFleet(FOUR_VMS)
         async with fleet.running() as vms:
             await trio.sleep(5)
-            vms["a-1"].rumors.begin("key-withdrawn", "k1")
+            vms["a-1"].rumors.publish("key-withdrawn", "k1")
             await trio.sleep(30)
             fleet.kill("b-1")
             await trio.sleep(1)
@@ -57,7 +57,7 @@
         fleet.network.faults.loss = 0.5
         async with fleet.running() as vms:
             await trio.sleep(10)
-            vms["b-2"].rumors.begin("key-withdrawn", "k1")
+            vms["b-2"].rumors.publish("key-withdrawn", "k1")
             await trio.sleep(5)
             for vm in vms.values():
                 self.assertTrue(vm.rumors.knows("key-withdrawn", "k1"))
@@ -67,7 +67,7 @@
         fleet = PartsFleet(FOUR_VMS)
         async with fleet.running() as vms:
             await trio.sleep(5)
-            vms["a-1"].rumors.begin("crash-mark", "x", ttl_s=10)
+            vms["a-1"].rumors.publish("crash-mark", "x", ttl_s=10)
             await trio.sleep(2)
             self.assertTrue(vms["b-2"].rumors.knows("crash-mark", "x"))
             await trio.sleep(10)
