--- a/packages/coordination/plantainshed_coordination/leases.py
+++ b/packages/coordination/plantainshed_coordination/leases.py
@@ -1,10 +1,11 @@
-"""Leases kept in the platform's store, judged by each observer's own clock.
-
-No two clocks are compared. Whoever wants a lease watches the object's version:
-when that has not changed for the whole time to live, its holder has stopped
-renewing, and a conditional write takes it over. A holder that was paused finds
-its own renewal refused; whatever it does meanwhile has to be fenced by the
-version of what it writes.
+"""Leases in the platform's object store, timed by each candidate's own clock.
+
+Clocks of different VMs are never compared. A candidate observes the version of
+the lease object. If the version has not changed for the whole time to live, the
+holder has stopped renewing, and the candidate acquires the lease by a
+conditional write. If a holder was paused and lost the lease, its next renewal is
+rejected. Its writes before that must be fenced by the version of the objects
+that it writes.
 """
 
 import json
@@ -22,12 +23,12 @@
 
 @frozen
 class ObservedLease:
-    """A lease as it was last read.
+    """State of a lease when it was last read or written.
 
     Parameters
     ----------
     holder : str
-        Empty when it was given back.
+        Empty if the lease was released.
     version : int
         Version of the object in the store.
     observed_at : float
@@ -63,20 +64,20 @@
 
     @property
     def is_held(self) -> bool:
-        """Whether this candidate may believe that it holds the lease.
+        """Whether this candidate holds the lease, by its own clock.
 
-        Nobody can have taken it over before the time to live has passed since
-        the last renewal began.
+        No other candidate can acquire the lease before the time to live has
+        passed since the start of the last successful renewal.
         """
         return trio.current_time() - self.renewed_at < self.ttl_s
 
     @property
     def renew_interval_s(self) -> float:
-        """How often to call `try_hold`, in seconds."""
+        """Interval between calls of `try_hold`, in seconds."""
         return self.ttl_s / 3
 
     async def try_hold(self) -> bool:
-        """Take or renew the lease if that is possible now."""
+        """Acquire or renew the lease; return whether this candidate holds it."""
         began_at = trio.current_time()
         try:
             if not self.is_held:
@@ -90,14 +91,14 @@
         return True
 
     async def release(self):
-        """Let somebody else have it at once, on a planned stop."""
+        """Release the lease on a planned stop, so that others need not wait."""
         if not self.is_held:
             return
         self.renewed_at = -self.ttl_s
         try:
             await self._write(FREE)
         except PlatformError:
-            # It lapses by itself; nobody waits for this.
+            # The lease expires by itself, and no caller depends on the release.
             return
 
     async def _read(self):
--- a/packages/coordination/plantainshed_coordination/members.py
+++ b/packages/coordination/plantainshed_coordination/members.py
@@ -1,4 +1,4 @@
-"""What is known of other VMs: a table of records and of when they were heard."""
+"""Table of the known VMs, with their records and last heartbeats."""
 
 from enum import IntEnum, StrEnum
 
@@ -11,7 +11,7 @@
 
 
 class MemberState(IntEnum):
-    """What a VM says of itself."""
+    """The lifecycle state that a VM reports in its record."""
 
     JOINING = 0
     READY = 1
@@ -20,11 +20,11 @@
 
 
 class Liveness(StrEnum):
-    """What is believed of a VM.
+    """The liveness that this process believes a VM to have.
 
-    ``SUSPECT`` is only used last, ``SILENT`` not at all; both can be wrong.
-    ``GONE`` is certain: the platform took the VM away, or a later incarnation
-    of it is running.
+    A ``SUSPECT`` VM is used only as a last resort, and a ``SILENT`` VM is not
+    used at all. Either may be a false detection. ``GONE`` is certain: the
+    platform removed the VM, or a later incarnation of it is running.
     """
 
     ALIVE = "alive"
@@ -35,22 +35,24 @@
 
 @define
 class Member:
-    """One VM in the table.
+    """A VM in the member table.
 
     Parameters
     ----------
     record : MemberRecord
-        The newest that is known.
+        The newest known record.
     beat : int
-        Highest beat number of that incarnation heard from anybody.
+        Highest heartbeat number of this incarnation, heard directly or from
+        another VM.
     heard_at : float
-        When the beat last rose, by this process's clock.
+        When `beat` last increased, by this process's clock.
     reported_liveness : Liveness
-        What the VM's own failure domain says of it; used for other domains.
+        Liveness reported by the VM's own failure domain, used for VMs of other
+        failure domains.
     changed_at : float
-        When the record last changed here.
+        When this process last stored a new record.
     incarnation_seen_at : float
-        When this incarnation was first heard of.
+        When this incarnation was first seen.
     """
 
     record: MemberRecord
@@ -73,20 +75,21 @@
 
 @define
 class MemberTable:
-    """All known VMs, and those that are known to be gone.
+    """All known VMs, and the incarnations that are known to be gone.
 
-    Records only move forward: by incarnation, then by revision. What arrives
-    late or twice therefore changes nothing.
+    A record is replaced only by one with a higher incarnation, or with the same
+    incarnation and a higher revision. Late and duplicate messages therefore
+    have no effect.
     """
 
     members: dict[str, Member] = field(factory=dict)
     gone: dict[tuple[str, int], float] = field(factory=dict)
-    # By domain and sender, the one that was noted last at the end.
+    # By failure domain and sender. The most recently updated entry is last.
     domain_beats: dict[tuple[str, str], DomainBeat] = field(factory=dict)
     domain_heard_at: dict[str, float] = field(factory=dict)
 
     def merge(self, record: MemberRecord, now: float) -> bool:
-        """Take over a record if it is newer; return whether it was."""
+        """Store a record if it is newer than the known one; return whether it was."""
         known = self.members.get(record.vm)
         if known is None:
             self.members[record.vm] = Member(_copy(record), now, now, now)
@@ -104,7 +107,7 @@
         return True
 
     def note_beat(self, vm: str, incarnation: int, beat: int, now: float):
-        """Note that a VM was alive when it made that beat."""
+        """Record a heartbeat number of a VM."""
         member = self.members.get(vm)
         if member is None or member.record.incarnation != incarnation:
             return
@@ -113,11 +116,11 @@
             member.heard_at = now
 
     def note_domain_beat(self, beat: DomainBeat, now: float):
-        """Note that a failure domain was reachable when it made that beat.
+        """Record a summary number of a failure domain.
 
-        Beats are compared with earlier ones of the same run only. Compared
-        with another VM's, a domain whose longest-running delegate dies would
-        seem cut off until the next one has counted as far.
+        Numbers are compared only within the same delegate. If they were compared
+        between delegates, a domain whose longest-running delegate dies would seem
+        unreachable until the next delegate's counter caught up.
         """
         known = self.domain_beats.get((beat.failure_domain, beat.vm))
         new = (beat.incarnation, beat.beat)
@@ -127,32 +130,33 @@
             self.domain_heard_at[beat.failure_domain] = now
 
     def newest_beat(self, failure_domain: str) -> DomainBeat | None:
-        """Return the beat of a failure domain that was noted last."""
+        """Return the most recently recorded summary number of a failure domain."""
         for beat in reversed(self.domain_beats.values()):
             if beat.failure_domain == failure_domain:
                 return beat
         return None
 
     def note_gone(self, vm: str, incarnation: int, now: float) -> bool:
-        """Note that an incarnation will never act again."""
+        """Record that an incarnation is gone; return whether that is new."""
         if (vm, incarnation) in self.gone:
             return False
         self.gone[vm, incarnation] = now
         return True
 
     def is_gone(self, vm: str, incarnation: int) -> bool:
-        """Tell whether an incarnation is certain to be over."""
+        """Return whether an incarnation is certain to be gone."""
         known = self.members.get(vm)
         superseded = known is not None and known.record.incarnation > incarnation
         return superseded or (vm, incarnation) in self.gone
 
     def is_reclaimable(self, vm: str, incarnation: int, now: float) -> bool:
-        """Tell whether what an incarnation held can go to others.
+        """Return whether the holdings of an incarnation can go to other VMs.
 
-        One that the platform took away was silent for `SILENT_AFTER_S` before that
-        counted. One that was replaced may only be paused and have been heard a
-        moment ago: it is given time to be silent so long that, when it wakes,
-        it finds that out before it acts.
+        An incarnation that the platform removed had already been silent for
+        `SILENT_AFTER_S`. An incarnation that was replaced may only be paused and
+        may have been heard a moment ago. `REPLACED_GRACE_S` must pass first, so
+        that a paused process has been paused long enough to detect the pause
+        when it resumes, before it acts.
         """
         if (vm, incarnation) in self.gone:
             return True
--- a/packages/coordination/plantainshed_coordination/membership.py
+++ b/packages/coordination/plantainshed_coordination/membership.py
@@ -1,10 +1,10 @@
-"""Who is there: heartbeats in a failure domain, summaries between domains.
+"""Fleet membership and failure detection.
 
-Inside its failure domain a VM keeps one task for each peer, which sends
-heartbeats. A heartbeat carries what the sender heard of others, so that one
-lost link makes nobody suspect. Between domains two delegates, chosen by
-rendezvous hashing, exchange summaries (`summaries`). The platform's list of
-VMs, which lags, is followed by two VMs of each domain (`vm_list`).
+Within a failure domain, each VM runs one task per peer that sends heartbeats.
+A heartbeat also carries the latest heartbeat numbers of other VMs, so that one
+broken link does not make a VM suspect. Between failure domains, two delegates
+of each domain, chosen by rendezvous hashing, send summaries (`summaries`). Two
+VMs of each domain poll the platform's list of VMs, which lags (`vm_list`).
 """
 
 from collections.abc import Callable
@@ -33,7 +33,7 @@
 
 @frozen
 class SeedMember:
-    """A VM that may be running, known before anything was heard."""
+    """A VM from the configuration that may be running."""
 
     vm: str
     failure_domain: str
@@ -41,26 +41,27 @@
 
 
 class Membership:
-    """This VM's view of the fleet.
+    """This VM's view of the members of the fleet.
 
     Parameters
     ----------
     identity : Identity
     network : PeerNetwork
     platform : Platform
-        For its lagging list of VMs.
+        Provides the list of VMs, which lags.
     seeds : iterable of SeedMember
     record : MemberRecord
-        What this VM says of itself at first.
+        The initial record of this VM.
 
     Attributes
     ----------
     table : MemberTable
     superseded : trio.Event
-        Set when this run must not act any more: a later incarnation of this VM
-        is running, or the platform has taken the VM away.
+        Set when this process must stop acting because a later incarnation of
+        this VM is running or the platform has removed the VM.
     is_resuming : bool
-        Whether this run was paused and has not yet heard from anybody since.
+        Whether this process was paused and has not received a message from a
+        peer since then.
     """
 
     def __init__(
@@ -98,7 +99,7 @@
         self.vm_list = VmList(self, platform)
 
     async def run(self):
-        """Keep up the view until cancelled."""
+        """Maintain the view until cancelled."""
         self.last_tick = trio.current_time()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.vm_list.run)
@@ -107,10 +108,10 @@
                 self._detect_pause(nursery)
                 await trio.sleep(TICK_S)
 
-    # What this VM says of itself.
+    # The record of this VM.
 
     def update_record(self, **fields):
-        """Change what this VM says of itself, and tell the others at once."""
+        """Change fields of this VM's record and send the new record at once."""
         changed = False
         for name, value in fields.items():
             if getattr(self.record, name) != value:
@@ -123,33 +124,33 @@
         self.send_soon()
 
     def send_soon(self):
-        """Send the next heartbeats now."""
+        """Send the next heartbeats and summaries without waiting for the interval."""
         self._send_requested.set()
         self._send_requested = trio.Event()
 
     async def announce_leaving(self):
-        """Tell the others that this VM is about to stop."""
+        """Notify the other VMs that this VM is about to stop."""
         self.update_record(state=MemberState.LEFT)
         for vm in self.domain_peers():
             await self.network.send(vm, "heartbeat", self._heartbeat())
         for domain in self.other_domains():
             await self.summaries.send(domain)
 
-    # Questions.
+    # Queries.
 
     def is_awake(self) -> bool:
-        """Tell whether this run can trust what it knows.
+        """Return whether this process can rely on its view of the fleet.
 
-        After a pause the process still believes what it believed before. The
-        tick of the membership task shows how long ago that was; whoever is
-        about to act asks here first, since it may run before that task does.
+        After a pause, the view is as old as the last tick of the membership
+        task. Callers check this method before they act, because they may be
+        scheduled before that task detects the pause.
         """
         if self.superseded.is_set() or self.is_resuming:
             return False
         return trio.current_time() - self.last_tick < PAUSE_THRESHOLD_S
 
     def liveness(self, vm: str) -> Liveness:
-        """Return what is believed of a VM."""
+        """Return the believed liveness of a VM."""
         if vm == self.identity.vm:
             return Liveness.ALIVE
         member = self.table.members.get(vm)
@@ -169,12 +170,12 @@
         return max(own_view, member.reported_liveness, key=LIVENESS_ORDER.index)
 
     def records(self) -> list[MemberRecord]:
-        """Return the newest record of every VM, this one's included."""
+        """Return the newest known record of every VM, including this one."""
         others = [member.record for member in self.table.members.values()]
         return [self.record, *others]
 
     def usable_vms(self) -> list[str]:
-        """Return the VMs that are believed to be alive, this one included."""
+        """Return the VMs that are believed to be alive, including this one."""
         names = [self.identity.vm]
         for vm in self.table.members:
             if self.liveness(vm) is Liveness.ALIVE:
@@ -182,7 +183,7 @@
         return names
 
     def domain_peers(self) -> list[str]:
-        """Return the known VMs of this failure domain, without this one."""
+        """Return the known VMs of this failure domain, excluding this one."""
         names = {
             member.vm
             for member in self.table.members.values()
@@ -210,31 +211,35 @@
         return sorted(names)
 
     def is_selected_for(self, key: str, count: int) -> bool:
-        """Tell whether this VM is one of its domain's first for a key."""
+        """Return whether this VM is selected for a key in its failure domain.
+
+        Rendezvous hashing ranks the live VMs of the failure domain for the key
+        and selects the first `count` of them.
+        """
         live = self.live_in_domain(self.identity.failure_domain)
         return self.identity.vm in rendezvous_order(key, live)[:count]
 
     def failure_domain_of(self, vm: str) -> str:
-        """Return the failure domain of a VM, empty if it is not known."""
+        """Return the failure domain of a VM, or an empty string if unknown."""
         if vm == self.identity.vm:
             return self.identity.failure_domain
         member = self.table.members.get(vm)
         return member.failure_domain if member else ""
 
     def reachable_domains(self) -> set[str]:
-        """Return the failure domains that were heard lately, own one included."""
+        """Return the failure domains heard from recently, including the own one."""
         now = trio.current_time()
         heard = self.table.domain_heard_at.items()
         reachable = {name for name, at in heard if now - at < SILENT_AFTER_S}
         return reachable | {self.identity.failure_domain}
 
     def leaving_vms(self) -> list[str]:
-        """Return the VMs that the platform is about to take away."""
+        """Return the VMs that the platform is about to remove."""
         now = trio.current_time()
         return sorted(vm for vm, until in self.leaving_until.items() if until > now)
 
     def note_leaving(self, vms):
-        """Take in what a reader of the platform's list says is leaving."""
+        """Record VMs that the platform's list reports as leaving."""
         until = trio.current_time() + LEAVING_TTL_S
         for vm in vms:
             if vm not in self.leaving_vms():
@@ -262,7 +267,7 @@
         self._peer_tasks.discard(vm)
 
     async def wait_until_next_send(self, seconds: float):
-        """Wait for a while, or until there is news to send."""
+        """Wait for the given time, or until `send_soon` is called."""
         with trio.move_on_after(seconds):
             await self._send_requested.wait()
 
@@ -306,15 +311,15 @@
             await self.summaries.send_all_records(message.sender.vm)
 
     def other_domains(self) -> list[str]:
-        """Return the known failure domains without the own one."""
+        """Return the known failure domains, excluding the own one."""
         names = {member.failure_domain for member in self.table.members.values()}
         names |= {seed.failure_domain for seed in self.seeds.values()}
         return sorted(names - {self.identity.failure_domain})
 
-    # What both kinds of message carry.
+    # Contents common to heartbeats and summaries.
 
     def merge_record(self, record: MemberRecord, now: float) -> bool:
-        """Take over a record if it is newer; return whether it was."""
+        """Store a record if it is newer than the known one; return whether it was."""
         if record.vm == self.identity.vm:
             self._resolve_incarnation_conflict(record.incarnation)
             return False
@@ -328,11 +333,12 @@
     def _resolve_incarnation_conflict(self, incarnation: int):
         if incarnation <= self.identity.incarnation:
             return
-        # Another run of this VM with a later incarnation exists. Before this
-        # one has been ready, it is an earlier run whose clock was ahead: the
-        # newer process is this one and takes the next number. Afterwards this
-        # process is the one that was replaced while it was paused. Acting on
-        # would use limits that have been handed to others: it must stop.
+        # Another process of this VM has a later incarnation. If this process has
+        # never been ready, the other one is an earlier process whose clock was
+        # ahead. This process is the newer one and takes the next incarnation
+        # number. If this process has been ready, it was replaced while it was
+        # paused. It must stop, because it would use limits that have been given
+        # to other VMs.
         if self._has_been_ready:
             self.superseded.set()
             return
@@ -343,7 +349,7 @@
         self.record.incarnation = incarnation + 1
 
     def merge_gone(self, items, now: float) -> bool:
-        """Note runs that are over; return whether any is news."""
+        """Record incarnations that are gone; return whether any of them is new."""
         changed = False
         for item in items:
             is_self = item.vm == self.identity.vm
@@ -353,14 +359,14 @@
         return changed
 
     def recently_gone(self, now: float) -> list[Gone]:
-        """Return what was learnt lately of runs that are over."""
+        """Return the incarnations that were recently recorded as gone."""
         return [
             Gone(vm=vm, incarnation=incarnation)
             for (vm, incarnation), at in self.table.gone.items()
             if now - at < RECENT_CHANGE_S
         ]
 
-    # Pauses.
+    # Recovery from pauses of the process.
 
     def _detect_pause(self, nursery):
         now = trio.current_time()
@@ -371,10 +377,11 @@
         self.last_tick = now
 
     async def _finish_resuming(self, resumed_at: float):
-        """End the state of waking once a peer was heard, or none answers.
+        """Clear `is_resuming` when a peer sends a message, or after a timeout.
 
-        A run that is cut off from everybody can learn nothing by waiting; it
-        goes on with what it holds, which nobody else was given.
+        A process that is partitioned from all peers learns nothing by waiting
+        longer. It continues with its own shares of the budgets, which have not
+        been given to other VMs.
         """
         with trio.move_on_after(RESUME_TIMEOUT_S):
             while self.last_message_at <= resumed_at:
--- a/packages/coordination/plantainshed_coordination/rumors.py
+++ b/packages/coordination/plantainshed_coordination/rumors.py
@@ -1,8 +1,8 @@
-"""Small statements that have to reach every VM, flooded from peer to peer.
+"""Gossip protocol that floods small messages to every VM.
 
-A rumor is known by topic and name; one with a higher stamp replaces an older
-one. Permanent rumors only ever accumulate, and a digest of them travels in
-each heartbeat, so that whoever missed one is found out and sent all.
+A topic and a name identify a rumor. A rumor with a higher stamp replaces one
+with a lower stamp. Permanent rumors are never removed. Each heartbeat carries a
+digest of them, so that a VM that missed one is detected and sent all rumors.
 """
 
 import math
@@ -29,7 +29,7 @@
 
 @frozen
 class RumorKey:
-    """What a rumor is about."""
+    """The topic and name that identify a rumor."""
 
     topic: str
     name: str
@@ -37,17 +37,17 @@
 
 @define
 class HeardRumor:
-    """A rumor as this VM knows it.
+    """A rumor as received by this VM.
 
     Parameters
     ----------
     stamp : int
-        Higher replaces lower.
+        A rumor with a higher stamp replaces one with a lower stamp.
     value : bytes
     expires_at : float
         By this process's clock; infinite for a permanent rumor.
     origin : str
-        VM that began it.
+        VM that published it.
     """
 
     stamp: int
@@ -57,13 +57,13 @@
 
 
 class RumorBook:
-    """All rumors that this VM knows, and the spreading of new ones.
+    """Stores the rumors known to this VM and spreads new ones.
 
     Attributes
     ----------
     heard : dict of RumorKey to HeardRumor
     listeners : dict of str to callable
-        By topic; called with name and rumor when one is new.
+        By topic; called with the name and the rumor when a rumor is new.
     """
 
     def __init__(self, network: PeerNetwork, membership: Membership):
@@ -86,7 +86,7 @@
     def publish(
         self, topic: str, name: str, value: bytes = b"", ttl_s: float = FOREVER
     ) -> bool:
-        """Begin a rumor, or renew it; return whether it is new here."""
+        """Publish or renew a rumor; return whether this VM did not have it yet."""
         key = RumorKey(topic, name)
         known = self.heard.get(key)
         stamp = known.stamp + 1 if known and ttl_s != FOREVER else 1
@@ -95,18 +95,18 @@
         return self._merge(key, HeardRumor(stamp, value, expires_at, origin))
 
     def knows(self, topic: str, name: str) -> bool:
-        """Tell whether an unexpired rumor is known."""
+        """Return whether an unexpired rumor is known."""
         return self.find(topic, name) is not None
 
     def find(self, topic: str, name: str) -> HeardRumor | None:
-        """Return an unexpired rumor."""
+        """Return a rumor, or None if it is unknown or has expired."""
         rumor = self.heard.get(RumorKey(topic, name))
         if rumor is None or rumor.expires_at <= trio.current_time():
             return None
         return rumor
 
     def names(self, topic: str) -> list[str]:
-        """Return what unexpired rumors of a topic are about."""
+        """Return the names of the unexpired rumors of a topic."""
         now = trio.current_time()
         return sorted(
             key.name
@@ -115,14 +115,14 @@
         )
 
     def forget_expired(self):
-        """Drop what has expired."""
+        """Remove the expired rumors."""
         now = trio.current_time()
         for key in [k for k, rumor in self.heard.items() if rumor.expires_at <= now]:
             del self.heard[key]
 
     @property
     def digest(self) -> int:
-        """Digest of all permanent rumors, the same whatever their order."""
+        """Digest of all permanent rumors, independent of their order."""
         return self._digest
 
     def _merge(self, key: RumorKey, rumor: HeardRumor) -> bool:
@@ -142,8 +142,8 @@
         return True
 
     async def _flood(self, key: RumorKey):
-        # A single datagram may be lost. Repeats cover that within seconds, the
-        # digest in the heartbeats covers everything else.
+        # A single datagram may be lost. Retransmissions cover that within seconds.
+        # The digest in the heartbeats covers all longer losses.
         for delay_s in REPEAT_DELAYS_S:
             await trio.sleep(delay_s)
             message = self._message([key])
@@ -188,10 +188,11 @@
             )
 
     async def _repair(self):
-        """Send everything to peers whose digest shows that they miss some.
+        """Send all rumors to peers whose digest differs from the own one.
 
-        Flooding ends after a few seconds. A peer that was cut off meanwhile
-        would go on accepting a withdrawn key; its heartbeat gives it away.
+        Flooding ends after a few seconds. A peer that was partitioned during that
+        time would keep accepting a withdrawn key. The digest in its heartbeat
+        reveals that it misses rumors.
         """
         while True:
             await trio.sleep(REPAIR_PERIOD_S)
@@ -211,7 +212,7 @@
         return membership.is_selected_for(record.vm, REPAIRERS_PER_DOMAIN)
 
     async def send_all(self, vm: str):
-        """Send a VM everything that is known."""
+        """Send all known rumors to a VM."""
         keys = list(self.heard)
         for start in range(0, len(keys), BATCH_SIZE):
             message = self._message(keys[start : start + BATCH_SIZE])
--- a/packages/coordination/plantainshed_coordination/summaries.py
+++ b/packages/coordination/plantainshed_coordination/summaries.py
@@ -1,7 +1,9 @@
-"""Summaries between failure domains: who is there, told by a few for all.
+"""Membership summaries between failure domains.
 
-Two delegates of a domain, chosen by rendezvous hashing for each other domain,
-send one a second to one VM there. What is new in it is passed on inside.
+For each other failure domain, rendezvous hashing selects two delegates of the
+own domain. Each delegate sends one summary per second to one VM of the other
+domain. If the summary contains changes, that VM forwards it to the peers of its
+own domain.
 """
 
 from typing import TYPE_CHECKING
@@ -21,7 +23,7 @@
 
 
 class Summaries:
-    """Sends this domain's summaries and takes in those of others."""
+    """Sends summaries of this failure domain and processes those of others."""
 
     def __init__(self, membership: "Membership"):
         self.membership = membership
@@ -29,14 +31,14 @@
         membership.network.handlers["summary"] = self._on_summary
 
     async def send_periodically(self, domain: str):
-        """Send to a failure domain, whenever this VM is a delegate for it."""
+        """Send summaries to a failure domain while this VM is a delegate for it."""
         while True:
             if self.membership.is_selected_for(domain, DELEGATES_PER_DOMAIN):
                 await self.send(domain)
             await self.membership.wait_until_next_send(PERIOD_S)
 
     async def send(self, domain: str):
-        """Send one summary of the own failure domain to another."""
+        """Send one summary of the own failure domain to another domain."""
         self.beat += 1
         full = self.beat % FULL_SUMMARY_EVERY == 0 or (
             domain not in self.membership.reachable_domains()
@@ -46,17 +48,18 @@
             await self.membership.network.send(vm, "summary", summary)
 
     async def send_all_records(self, vm: str):
-        """Send a newcomer all records, one summary for each failure domain."""
+        """Send a VM all known records, in one summary for each failure domain."""
         membership = self.membership
         for domain in [membership.identity.failure_domain, *membership.other_domains()]:
             summary = self._summary_of(domain, full=True)
             await membership.network.send(vm, "summary", summary)
 
     def _receivers_in(self, domain: str) -> list[str]:
-        """Return whom to send a summary: one live VM, or all while none is known.
+        """Return the receivers of a summary.
 
-        Which delegate sends to which receiver is chosen by hashing, so that the
-        two pairs are distinct paths where they can be.
+        This is one live VM of the domain, or all known VMs and seeds while no VM
+        is known to be live. Each delegate chooses its receiver by hashing, so
+        that the two delegates use distinct paths where possible.
         """
         membership = self.membership
         live = membership.live_in_domain(domain)
