--- a/packages/coordination/plantainshed_coordination/follower.py
+++ b/packages/coordination/plantainshed_coordination/follower.py
@@ -1,8 +1,9 @@
-"""Following a versioned document: from the store, or from peers.
+"""Keeps a local copy of a versioned document up to date.
 
-Two VMs of each failure domain watch the store; the others learn of a version
-from heartbeats and fetch what they lack from whoever has it. A version is
-installed whole, after it has been checked, and only if it is higher.
+Two VMs of each failure domain watch the store. The other VMs learn of a new
+version from heartbeats and fetch the missing segments from a peer that has them.
+A version is installed as a whole, after validation, and only if it is newer than
+the installed one.
 """
 
 import contextlib
@@ -21,14 +22,14 @@
 
 WATCHERS = 2
 POLL_S = 1.0
-# Pause between reads of the root beside the watch, which looks the same while it
-# waits for a change and when the store never took it up.
+# Interval between reads of the root in addition to the watch. A watch that waits
+# for a change cannot be distinguished from one that the store never registered.
 STORE_POLL_S = 2.0
 RETRY_MIN_S = 0.2
 RETRY_MAX_S = 5.0
 MAX_PEERS_TRIED = 3
-# First and longest time for the whole document from one peer; it doubles while no
-# peer gives it in time.
+# Minimum and maximum timeout for fetching the whole document from one peer. The
+# timeout doubles after each round in which no peer delivers the document in time.
 FETCH_TIMEOUT_MIN_S = 1.0
 FETCH_TIMEOUT_MAX_S = 16.0
 REVISION_NAME = "revision"
@@ -38,7 +39,7 @@
 
 
 class DocumentFollower:
-    """Keeps this VM at the newest version that it can reach.
+    """Keeps this VM at the newest version available from the store or a peer.
 
     Parameters
     ----------
@@ -46,19 +47,19 @@
     bulk : BulkSource
     membership : Membership
     install : callable
-        Takes a revision and all its segments into force. What it raises as a
-        `CoordinationError` leaves the version in force as it was.
+        Receives a revision and all its segments and activates them. If it
+        raises a `CoordinationError`, the active version does not change.
 
     Attributes
     ----------
     revision : Revision
-        The version in force.
+        The active version.
     refused : dict of int to str
-        Versions that could not be installed, and why.
+        Versions that could not be installed, with the error message of each.
     is_watching : bool
         Whether this VM watches the store for its failure domain.
     store_heard_at : float
-        When the store last answered this VM.
+        When the store last answered a read or a watch of this VM.
     """
 
     def __init__(
@@ -82,20 +83,20 @@
         membership.on_change.append(self._on_record_change)
 
     async def run(self):
-        """Follow until cancelled."""
+        """Keep the document up to date until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._watch_store)
             nursery.start_soon(self._poll_store)
             nursery.start_soon(self._follow_peers)
 
     def value(self, name: str) -> bytes | None:
-        """Return what a peer may fetch: the revision, or one of its segments."""
+        """Return a value for a peer: the serialized revision or one of its segments."""
         if name == REVISION_NAME and self.revision.version:
             return self.revision.to_bytes()
         return self.segments.get(name.removeprefix(SEGMENT_PREFIX))
 
     async def _watch_store(self):
-        """Watch the store, if this VM is one of its domain's watchers."""
+        """Watch the store while this VM is one of its failure domain's watchers."""
         root = Root(EMPTY_REVISION)
         delay_s = RETRY_MIN_S
         while True:
@@ -108,17 +109,18 @@
             try:
                 newer = await self.store.wait_for_newer(root)
                 await self._install_root(newer)
-                # Only now: what could not be read is to be told again.
+                # Set only after a successful install, so that the next watch
+                # reports a version again if its segments could not be read.
                 root = newer
                 delay_s = RETRY_MIN_S
             except CoordinationError:
-                # Jitter keeps all watchers of the fleet from coming back at
-                # the same moment when the store does.
+                # Jitter prevents all watchers of the fleet from reconnecting at the
+                # same moment when the store recovers.
                 await trio.sleep(delay_s * random.uniform(0.5, 1.5))
                 delay_s = min(RETRY_MAX_S, delay_s * 2)
 
     async def _poll_store(self):
-        """Read what a watch that is never answered would not tell."""
+        """Poll the root periodically, in case a watch is never answered."""
         while True:
             await trio.sleep(STORE_POLL_S)
             if not self.is_watching:
@@ -150,19 +152,24 @@
     async def _install_from_first_peer(
         self, records: list[MemberRecord], timeout_s: float
     ) -> bool:
-        """Take the document from the first peer that gives it in time, if any."""
+        """Install the document from the first peer that delivers it in time.
+
+        Returns whether any peer did.
+        """
         for record in records:
-            # A frozen peer must not keep this VM from another, known or not yet.
+            # The timeout keeps a hung peer from blocking fetches from other peers,
+            # including peers that this VM learns of later.
             with contextlib.suppress(CoordinationError), trio.move_on_after(timeout_s):
                 await self._install_from_peer(record)
                 return True
         return False
 
     def _peers_with_newer_version(self) -> list[MemberRecord]:
-        """Return peers with a newer version, those of the own domain first.
+        """Return peers with a newer version, preferably of the own domain.
 
-        Other domains are asked only by two VMs of this one, so that a change
-        crosses each link a few times and not once for each VM.
+        If no peer of the own domain has a newer version, two VMs of the domain
+        fetch from other domains. A change thus crosses each link a few times
+        rather than once per VM.
         """
         own = self.membership.identity
         near, far = [], []
@@ -187,7 +194,7 @@
         await self._install_if_newer(Revision.from_bytes(data), segment)
 
     async def _install_if_newer(self, revision: Revision, fetch_segment):
-        """Install a revision if it is newer, fetching only what changed."""
+        """Install a revision if it is newer, fetching only the changed segments."""
         if revision.version <= self.revision.version:
             return
         segments = {}
@@ -196,8 +203,8 @@
             if segments[digest] is None:
                 segments[digest] = await self._fetch(digest, fetch_segment)
         if revision.version <= self.revision.version:
-            # Another source was faster while this one was being fetched;
-            # installing now would put an older version in force.
+            # A newer or equal version was installed from another source during
+            # the fetch. Installing this one would revert to an older version.
             return
         texts = {name: segments[d] for name, d in revision.segments.items()}
         try:
@@ -213,5 +220,5 @@
     async def _fetch(self, digest: str, fetch_segment) -> bytes:
         data = await fetch_segment(digest)
         if content_digest(data) != digest:
-            raise SegmentMissing(f"segment {digest} arrived damaged")
+            raise SegmentMissing(f"segment {digest} does not match its digest")
         return data
--- a/packages/coordination/plantainshed_coordination/operations.py
+++ b/packages/coordination/plantainshed_coordination/operations.py
@@ -1,10 +1,10 @@
-"""At most once: which operations have begun, remembered by one VM each.
+"""At-most-once execution of operations.
 
-An operation's id names the VM, its incarnation, and a period of that run; that
-run alone decides whether the operation may begin. A first attempt at the VM
-that the id names needs no other. A repeat elsewhere asks it; when that run is
-gone or out of reach, nobody can know, and the answer is "unknown", never a
-second run.
+An operation id names the VM that owns the operation, the incarnation of that VM,
+and an epoch of that incarnation. Only the owner decides whether the operation
+may start. A first attempt at the owner needs no message to another VM. A retry
+at another VM asks the owner. If the owner is gone or unreachable, the result is
+"unknown", and the operation is never run a second time.
 """
 
 from collections import OrderedDict
@@ -36,7 +36,7 @@
 
 
 class Verdict(IntEnum):
-    """What the remembering run says to a claim."""
+    """The owner's decision on a claim."""
 
     RUN = 1
     IN_PROGRESS = 2
@@ -46,15 +46,15 @@
 
 @frozen
 class OperationId:
-    """An operation id, taken apart.
+    """A parsed operation id.
 
     Parameters
     ----------
     vm : str
     incarnation : int
-        The run that remembers the operation.
+        Incarnation of the VM that owns the operation.
     epoch : int
-        Period of that run, `EPOCH_S` long.
+        Number of a period of that incarnation, `EPOCH_S` long.
     nonce : str
         Chosen by the caller.
     """
@@ -73,8 +73,8 @@
             parsed = cls(vm, int(incarnation), int(epoch), nonce)
         except ValueError:
             raise BadOperationId(
-                f"{text!r} must read VM~INCARNATION~EPOCH~NONCE; the first three "
-                "come with the answer to a look-up"
+                f"{text!r} must have the form VM~INCARNATION~EPOCH~NONCE; the first "
+                "three fields come with the answer to a look-up"
             ) from None
         if not nonce or len(nonce) > MAX_NONCE:
             raise BadOperationId(f"the nonce must have 1 to {MAX_NONCE} characters")
@@ -87,7 +87,10 @@
 
 
 def operation_prefix(record) -> str:
-    """Return what a caller puts before its nonce, from a VM's record."""
+    """Return the prefix of operation ids that the VM of a record owns.
+
+    The caller appends a nonce to it.
+    """
     return SEPARATOR.join(
         (record.vm, str(record.incarnation), str(record.operation_epoch), "")
     )
@@ -95,15 +98,15 @@
 
 @define
 class OperationRecord:
-    """What is known of an operation that has begun.
+    """Record of an operation that has started.
 
     Parameters
     ----------
     runner : str
-        Run that was allowed to begin it.
+        Holder name of the process that was allowed to run it.
     done : bool
     answer : bytes or None
-        What the caller was told, if it was small enough to keep.
+        Answer that the caller received, if it was small enough to store.
     """
 
     runner: str
@@ -113,16 +116,16 @@
 
 @frozen
 class Claim:
-    """The answer to a claim, and the stored answer if there is one."""
+    """Decision on a claim, with the stored answer of the operation if any."""
 
     verdict: Verdict
     answer: bytes | None = None
 
 
 class OperationRegistry:
-    """Remembers this run's operations, and claims those of others.
+    """Records the operations that this VM owns, and claims those of other VMs.
 
-    Memory: about 200 bytes an operation for up to `EPOCHS_REMEMBERED` epochs,
+    Memory: about 200 bytes per operation for up to `EPOCHS_REMEMBERED` epochs,
     and `MAX_ANSWERS` answers of up to `MAX_ANSWER_BYTES`.
     """
 
@@ -135,7 +138,7 @@
         network.handlers["operation_done"] = self._on_done
 
     async def run(self):
-        """Begin a new epoch every `EPOCH_S`."""
+        """Start a new epoch every `EPOCH_S` seconds."""
         while True:
             await trio.sleep(EPOCH_S)
             epoch = self.membership.record.operation_epoch + 1
@@ -145,11 +148,11 @@
 
     @property
     def identity(self) -> Identity:
-        """The run that remembers."""
+        """Identity of this process."""
         return self.membership.identity
 
     async def claim(self, operation: OperationId) -> Claim:
-        """Ask whether an operation may begin here and now."""
+        """Claim an operation; return whether it may start on this VM."""
         if self._is_own(operation):
             return self._decide(operation, self.identity.holder)
         if operation.vm == self.identity.vm:
@@ -162,20 +165,20 @@
                 operation.vm, "claim_request", request, CLAIM_TIMEOUT_S
             )
         except PeerError:
-            # The run that remembers cannot be asked. It may have run the
-            # operation; running it here could book a second chair.
+            # The owner is unreachable and may already have let the operation run.
+            # Running it here could execute it twice, such as a duplicate booking.
             return Claim(Verdict.UNKNOWN)
         return Claim(Verdict(answer.verdict), answer.answer or None)
 
     async def finish(self, operation: OperationId, answer: bytes | None):
-        """Note that an operation ended with an answer for the caller."""
+        """Record that an operation ended with an answer for the caller."""
         if answer is not None and len(answer) > MAX_ANSWER_BYTES:
             answer = None
         message = OperationDone(operation=str(operation), answer=answer or b"")
         await self._notify_owner(operation, message)
 
     async def release(self, operation: OperationId):
-        """Note that an operation certainly did not run; it may be tried again."""
+        """Record that an operation certainly did not run, so that it may be retried."""
         await self._notify_owner(
             operation, OperationDone(operation=str(operation), not_run=True)
         )
@@ -203,8 +206,8 @@
     def _decide(self, operation: OperationId, runner: str) -> Claim:
         epoch = self.membership.record.operation_epoch
         if not epoch - EPOCHS_REMEMBERED < operation.epoch <= epoch:
-            # Too old to be remembered: a first attempt and a repeat look the
-            # same, and only one of them may run.
+            # Records of this epoch have been removed, so a first attempt and a retry
+            # cannot be told apart. Only a first attempt may run.
             return Claim(Verdict.UNKNOWN)
         known = self.epochs.setdefault(operation.epoch, {})
         record = known.get(operation.nonce)
--- a/packages/coordination/plantainshed_coordination/versioned.py
+++ b/packages/coordination/plantainshed_coordination/versioned.py
@@ -1,10 +1,10 @@
 """A versioned document in the platform's object store.
 
-The document's text is cut into named segments. A segment is immutable and
-stored under the digest of its bytes. A revision names the digests of all
-segments, its parent, and who changed what and why. One root object names the
-newest revision; swinging the root by a conditional write is what makes a
-change take effect, whole or not at all.
+The text of the document is divided into named segments. A segment is immutable
+and stored under the digest of its bytes. A revision lists the digests of all
+segments, its parent, the author, the reason and the time of the change. One root
+object contains the newest revision. A conditional write of the root commits a
+change atomically.
 """
 
 import json
@@ -42,15 +42,16 @@
     Parameters
     ----------
     version : int
-        1 for the first; each change adds one.
+        1 for the first revision, incremented by each change.
     change_id : str
-        Made by whoever asked for the change; recognises it after a lost answer.
+        Id chosen by the author of the change. It identifies the change when the
+        answer to a write is lost.
     parent_change_id : str
-        Change that this one follows, empty for the first.
+        Id of the preceding change, empty for the first.
     segments : dict of str to str
         Digest of each segment, by the segment's name.
     author, reason : str
-        Who changed it, and why.
+        Author of the change and the reason for it.
     changed_at : str
         Date and time in ISO 8601, UTC.
     """
@@ -64,12 +65,12 @@
     changed_at: str
 
     def to_bytes(self) -> bytes:
-        """Return the revision as JSON."""
+        """Serialize the revision as JSON."""
         return json.dumps(asdict(self), sort_keys=True).encode()
 
     @classmethod
     def from_bytes(cls, data: bytes) -> "Revision":
-        """Read a revision from its JSON, or raise `DocumentError`."""
+        """Parse a revision from JSON, or raise `DocumentError`."""
         try:
             return cls(**json.loads(data))
         except (ValueError, TypeError) as error:
@@ -81,14 +82,14 @@
 
 @frozen
 class Root:
-    """The root object: the newest revision and the changes just before it."""
+    """The root object, with the newest revision and the ids of recent changes."""
 
     revision: Revision
     recent_change_ids: list[str] = field(factory=list)
     object_version: int = ABSENT
 
     def to_bytes(self) -> bytes:
-        """Return what is stored of the root."""
+        """Serialize the root as JSON, without its object version."""
         return json.dumps(
             {
                 "revision": asdict(self.revision),
@@ -100,15 +101,15 @@
 
 @frozen
 class Change:
-    """A change that somebody asks for.
+    """A requested change of the document.
 
     Parameters
     ----------
     base_version : int
-        Version that the author saw; the change is refused if it is not the
-        newest any more.
+        Version that the author based the change on. The change is rejected if
+        this is no longer the newest version.
     segments : dict of str to bytes
-        The whole new text, by segment name.
+        The complete new text, by segment name.
     change_id, author, reason, changed_at : str
         As in `Revision`.
     """
@@ -122,13 +123,13 @@
 
 
 class DocumentStore:
-    """Reads and changes the document in the platform's store."""
+    """Reads and commits versions of the document in the platform's store."""
 
     def __init__(self, platform: Platform):
         self.platform = platform
 
     async def root(self) -> Root:
-        """Return the root as stored now, an empty one if there is none yet."""
+        """Return the stored root, or an empty one if there is none yet."""
         try:
             stored = await self.platform.get(ROOT_KIND, ROOT_KIND)
         except ObjectMissing:
@@ -136,7 +137,7 @@
         return root_from_stored(stored)
 
     async def wait_for_newer(self, known: Root) -> Root:
-        """Return the root as soon as it is not the known one any more."""
+        """Wait until the stored root differs from the known one, and return it."""
         return root_from_stored(
             await self.platform.wait_for_change(
                 ROOT_KIND, ROOT_KIND, known.object_version
@@ -170,20 +171,20 @@
         return revisions
 
     async def revision(self, change_id: str) -> Revision:
-        """Return the revision that a change made."""
+        """Return the revision that a change created."""
         stored = await self.platform.get(REVISION_KIND, change_id)
         return Revision.from_bytes(stored.value)
 
     async def commit(self, change: Change) -> Revision:
-        """Make a change take effect, once, whole or not at all.
+        """Commit a change atomically and exactly once.
 
         Raises
         ------
         StaleBase
-            If the document was changed since `change.base_version`.
+            If the document has been changed since `change.base_version`.
         CommitUnconfirmed
-            If the store never said what became of the last write. The same
-            change, with the same id, can safely be tried again.
+            If the store did not confirm the write in any attempt. The same change,
+            with the same id, can safely be retried.
         """
         digests = {n: content_digest(text) for n, text in change.segments.items()}
         last_error = None
@@ -193,9 +194,10 @@
             try:
                 return await self._commit_once(change, digests)
             except (OutcomeUnknown, PlatformUnavailable, VersionConflict) as error:
-                # A lost answer shows as a change that seems to have failed,
-                # and a blind second try as a change applied twice. The next
-                # attempt reads the root first and finds its own change id.
+                # If an answer was lost, the change may have been committed even
+                # though it seems to have failed, and a blind retry would apply it
+                # twice. The next attempt therefore reads the root first and looks
+                # for its own change id.
                 last_error = error
         raise CommitUnconfirmed(
             f"the store did not confirm change {change.change_id}: {last_error}"
@@ -236,8 +238,8 @@
                 await self._create(SEGMENT_KIND, digests[name], text)
 
     async def _create(self, kind: str, name: str, value: bytes):
-        # Content is immutable under its name: finding it there already means
-        # that an earlier attempt wrote it and the answer was lost.
+        # Objects are immutable under their name. If the object already exists, an
+        # earlier attempt wrote it and the answer was lost.
         try:
             await self.platform.put(kind, name, value, ABSENT)
         except VersionConflict:
@@ -247,7 +249,7 @@
 
 
 def root_from_stored(stored) -> Root:
-    """Read the root object, or raise `DocumentError`."""
+    """Parse the root object, or raise `DocumentError`."""
     try:
         fields = json.loads(stored.value)
         return Root(
