--- a/packages/coordination/plantainshed_coordination/control.py
+++ b/packages/coordination/plantainshed_coordination/control.py
@@ -1,9 +1,9 @@
-"""Bulk exchanges between VMs and operators' calls, over gRPC.
+"""Bulk transfers between VMs and operators' commands, over gRPC.
 
-These are rare: a snapshot for a VM that starts, the segments of a change, a
-command from the console. A call costs about a millisecond of processor time,
-which is why nothing that happens every second comes this way. gRPC runs its
-own threads; trio's loop is entered and left through trio's thread functions.
+Calls are rare: a snapshot for a starting VM, the segments of a change, or a
+command from the console. A call costs about a millisecond of CPU time, so
+messages that are sent every second do not use gRPC. gRPC runs its own threads,
+which exchange calls with the trio event loop through trio's thread functions.
 """
 
 import contextlib
@@ -54,19 +54,19 @@
 
 @contextlib.asynccontextmanager
 async def serve_control(address: str, value: ValueSource, command: CommandHandler):
-    """Answer fetches and commands for the length of a block.
+    """Serve fetches and commands while the context is active.
 
     Yields
     ------
     int
-        The port that was bound.
+        The bound port.
     """
     server = grpc.server(ThreadPoolExecutor(THREADS), options=OPTIONS)
     add_ControlServicer_to_server(_Servicer(value, command), server)
     try:
         port = server.add_insecure_port(address)
     except RuntimeError as error:
-        raise PeerError(f"the control port {address} cannot be opened") from error
+        raise PeerError(f"cannot bind the control port to {address}") from error
     server.start()
     try:
         yield port
@@ -77,7 +77,7 @@
 
 
 class ControlClient:
-    """Calls other VMs' control ports; a `BulkSource`."""
+    """Client of other VMs' control ports. Implements `BulkSource`."""
 
     def __init__(self):
         self._channels: dict[str, grpc.Channel] = {}
@@ -86,13 +86,13 @@
         """Fetch a value, or raise `PeerError`."""
         reply = await self._call(address, "Fetch", FetchRequest(name=name))
         if not reply.found:
-            raise PeerRefused(f"{address}: has no {name}")
+            raise PeerRefused(f"{address} does not have {name}")
         return reply.value
 
     async def command(
         self, address: str, command: str, arguments: bytes, credential: str
     ) -> bytes:
-        """Have a VM carry out an operator's command; return its result."""
+        """Run an operator's command on a VM and return its result."""
         request = ControlRequest(
             command=command, arguments=arguments, credential=credential
         )
--- a/packages/coordination/plantainshed_coordination/network.py
+++ b/packages/coordination/plantainshed_coordination/network.py
@@ -1,4 +1,4 @@
-"""Messages between VMs: sending, asking, and handing on what arrives."""
+"""Messages between VMs: sending, requests with replies, and dispatch to handlers."""
 
 import itertools
 from collections import Counter, OrderedDict
@@ -19,7 +19,7 @@
 
 
 class Sender:
-    """Who sent a message.
+    """The sender of a message.
 
     Parameters
     ----------
@@ -35,7 +35,7 @@
 
 
 class PeerNetwork:
-    """Names VMs instead of addresses, and matches answers to questions.
+    """Addresses VMs by name, and matches replies to requests.
 
     Parameters
     ----------
@@ -45,15 +45,15 @@
     Attributes
     ----------
     addresses : dict of str to str
-        Where each VM receives datagrams; kept by membership.
+        Datagram address of each VM; maintained by `Membership`.
     handlers : dict of str to callable
-        By the field name of the message in `Envelope`. What a handler returns
-        is sent back as the answer.
+        By the field name of the message in `Envelope`. The return value of a
+        handler is sent back as the reply.
     late_answer_handlers : dict of str to callable
-        By the answer's field name; told which VM answered a question that has
-        been given up, or once more one that it had answered.
+        By the field name of the reply. Called with the name of the VM whose reply
+        arrived after its request timed out or was already answered.
     received : collections.Counter
-        Messages by field name.
+        Number of received messages by field name.
     """
 
     def __init__(self, identity: Identity, transport: Transport):
@@ -69,7 +69,7 @@
         self._replies: OrderedDict[tuple[str, int, int], object] = OrderedDict()
 
     async def run(self):
-        """Receive messages for ever; each is handled in its turn."""
+        """Receive messages until cancelled, and handle each in a task of its own."""
         async with trio.open_nursery() as nursery:
             while True:
                 data = await self.transport.receive()
@@ -82,7 +82,7 @@
                 nursery.start_soon(self._handle, envelope)
 
     async def send(self, vm: str, field: str, message) -> None:
-        """Send a message to a VM; it may get lost."""
+        """Send a message to a VM. Delivery is not guaranteed."""
         address = self.addresses.get(vm)
         if address is not None:
             await self.send_to(address, field, message)
@@ -97,10 +97,10 @@
         await self.transport.send(address, envelope.SerializeToString())
 
     async def ask(self, vm: str, field: str, message, timeout_s: float):
-        """Send a message and return its answer, or raise `PeerTimeout`.
+        """Send a request and return its reply, or raise `PeerTimeout`.
 
-        The question is repeated once, halfway. The other side handles it once
-        and answers each repeat with the same answer.
+        The request is sent a second time after half of the timeout. The receiver
+        handles it once and sends the same reply to each copy.
         """
         address = self.addresses.get(vm)
         if address is None:
@@ -135,8 +135,8 @@
             return
         request_key = (envelope.vm, envelope.incarnation, envelope.request_id)
         if request_key not in self._replies:
-            # A repeated question must not be handled twice: a lender would
-            # lend twice and the borrower would hear of one loan only.
+            # A duplicate request must not be handled twice. Otherwise a lender
+            # would grant two loans and the borrower would learn of only one.
             self._cache_reply(request_key, None)
             self._cache_reply(request_key, await handler(sender, message))
         reply = self._replies[request_key]
@@ -144,8 +144,9 @@
             await self._reply(envelope, reply)
 
     def _deliver_reply(self, envelope, field: str, message):
-        # An answer that comes after its question was given up has no waiting
-        # entry left; it never reaches another one.
+        # A reply that arrives after its request timed out has no pending entry.
+        # This process does not reuse request ids, so the reply cannot be matched to
+        # another request.
         pending = self._pending.get(envelope.request_id)
         if pending is not None:
             pending.message = message
--- a/packages/coordination/plantainshed_coordination/platform.py
+++ b/packages/coordination/plantainshed_coordination/platform.py
@@ -1,8 +1,8 @@
-"""What this library needs from the platform's object store.
+"""The interface that this library requires of the platform's object store.
 
-The store keeps small values (up to `MAX_VALUE_BYTES`) under a kind and a name,
-gives each a version, and writes on the condition that the version is still the
-one that the writer saw. A waiting watch counts as one call.
+The store holds small values (up to `MAX_VALUE_BYTES`), each identified by a kind
+and a name. Each value has a version, and a write succeeds only if the version is
+still the one that the writer expects. A waiting watch counts as one call.
 """
 
 from typing import Protocol
@@ -15,7 +15,7 @@
 
 @frozen
 class StoredObject:
-    """One object as the store holds it.
+    """An object in the store.
 
     Parameters
     ----------
@@ -24,7 +24,7 @@
     name : str
         Name, unique within its kind.
     version : int
-        Grows with each write; `ABSENT` stands for an object that is not there.
+        Increases with each write. `ABSENT` means that the object does not exist.
     value : bytes
         At most `MAX_VALUE_BYTES`.
     """
@@ -37,14 +37,14 @@
 
 @frozen
 class ListedVm:
-    """A line of the platform's list of VMs, which lags behind what is true.
+    """An entry of the platform's list of VMs, which lags behind the actual state.
 
     Parameters
     ----------
     vm : str
         Name of the VM.
     leaving : bool
-        Whether the platform is about to take the VM away.
+        Whether the platform is about to remove the VM.
     """
 
     vm: str
@@ -52,10 +52,10 @@
 
 
 class Platform(Protocol):
-    """The object store and the list of VMs.
+    """The platform's object store and list of VMs.
 
-    Every method may raise `PlatformUnavailable`; the writes may also raise
-    `OutcomeUnknown` when the answer was lost.
+    Every method may raise `PlatformUnavailable`. Writes may also raise
+    `OutcomeUnknown` if the answer was lost.
     """
 
     async def get(self, kind: str, name: str) -> StoredObject:
@@ -76,7 +76,7 @@
     async def wait_for_change(
         self, kind: str, name: str, known_version: int
     ) -> StoredObject:
-        """Return the object as soon as its version is not `known_version`."""
+        """Wait until the object's version differs from `known_version`; return it."""
 
     async def list_vms(self) -> list[ListedVm]:
-        """Return the live and leaving VMs as the platform last knew them."""
+        """Return the live and leaving VMs as last known to the platform."""
--- a/packages/coordination/plantainshed_coordination/transport.py
+++ b/packages/coordination/plantainshed_coordination/transport.py
@@ -1,4 +1,4 @@
-"""How VMs reach each other: datagrams for what is small, fetches for bulk."""
+"""Transports between VMs: datagrams for messages, fetches for bulk data."""
 
 import hashlib
 import hmac
@@ -14,32 +14,33 @@
 
 
 class Transport(Protocol):
-    """Sends and receives datagrams, which may be lost, late or repeated."""
+    """Sends and receives datagrams, which may be lost, delayed or duplicated."""
 
     address: str
 
     async def send(self, address: str, data: bytes) -> None:
-        """Send a datagram; says nothing of whether it arrives."""
+        """Send a datagram. Delivery is not confirmed."""
 
     async def receive(self) -> bytes:
         """Return the next datagram."""
 
 
 class BulkSource(Protocol):
-    """Fetches named values from a peer, whole or not at all."""
+    """Fetches complete named values from a peer."""
 
     async def fetch(self, address: str, name: str) -> bytes:
         """Return a value, or raise `PeerError`."""
 
 
 class DatagramTransport:
-    """Datagrams over UDP, each authenticated by the fleet's shared secret.
+    """Sends UDP datagrams authenticated with the fleet's shared secret.
 
     Parameters
     ----------
     socket : trio.socket.SocketType
     secret : bytes
-        At most 32 bytes are used as the key; empty for no authentication.
+        The authentication key is the 32-byte SHA-256 digest of the secret. An
+        empty secret disables authentication.
 
     Attributes
     ----------
@@ -66,7 +67,7 @@
         return cls(socket, secret)
 
     async def send(self, address: str, data: bytes) -> None:
-        """Send a datagram; a network that refuses it counts as a loss."""
+        """Send a datagram. An error of the network is treated as a lost datagram."""
         if len(data) > MAX_DATAGRAM_BYTES:
             raise PeerError(f"a datagram of {len(data)} bytes is too large")
         data = self._tag(data) + data
@@ -75,12 +76,12 @@
         try:
             await self.socket.sendto(data, split_address(address))
         except OSError:
-            # A refused or unreachable port shows as an error of this or of a
-            # later call. To the sender it is a lost datagram like any other.
+            # A refused or unreachable port is reported as an error of this call
+            # or of a later one. It is treated like any other lost datagram.
             await trio.lowlevel.checkpoint()
 
     async def receive(self) -> bytes:
-        """Return the next datagram that bears the fleet's tag."""
+        """Return the next datagram with a valid authentication tag."""
         while True:
             try:
                 data, _ = await self.socket.recvfrom(65_535)
--- a/packages/coordination/plantainshed_coordination/vm_list.py
+++ b/packages/coordination/plantainshed_coordination/vm_list.py
@@ -1,7 +1,8 @@
-"""The platform's list of VMs, which lags, as a source of certainty.
+"""Polls the platform's list of VMs, which lags behind the actual state.
 
-Two VMs of each failure domain read it. It says which VMs are about to leave,
-and, together with silence, which are gone for good.
+Two VMs of each failure domain poll the list. It shows which VMs are about to
+leave. A VM that has been removed from the list and is silent is certain to be
+gone.
 """
 
 import contextlib
@@ -21,12 +22,12 @@
 
 
 class VmList:
-    """Follows the platform's list for a membership.
+    """Polls the platform's list of VMs for a `Membership`.
 
     Attributes
     ----------
     seen_runs : set of (str, int)
-        Runs that the list has shown, as VM and incarnation.
+        VM and incarnation of each process that has been in the list.
     """
 
     def __init__(self, membership: "Membership", platform: Platform):
@@ -35,7 +36,7 @@
         self.seen_runs: set[tuple[str, int]] = set()
 
     async def run(self):
-        """Read the list until cancelled, if this VM is one of its readers."""
+        """Poll the list until cancelled, while this VM is one of its readers."""
         while True:
             await trio.sleep(PERIOD_S)
             if not self.membership.is_selected_for("vm-list", READERS_PER_DOMAIN):
@@ -53,8 +54,8 @@
             if member.vm in names:
                 self.seen_runs.add(run)
             elif run in self.seen_runs and silent:
-                # The list lags: a VM that it does not show may be too new for
-                # it. Only one that it showed, that it dropped, and that is
-                # silent is certain to be gone.
+                # The list lags, so a VM that is missing from it may be new. A VM is
+                # certain to be gone only if it was listed before, is not listed
+                # any more, and is silent.
                 self.membership.table.note_gone(*run, now)
         self.membership.send_soon()
