--- a/packages/coordination/plantainshed_coordination/addresses.py
+++ b/packages/coordination/plantainshed_coordination/addresses.py
@@ -1,4 +1,4 @@
-"""Addresses as settings and documents write them: ``IP:PORT``."""
+"""Parsing of ``IP:PORT`` addresses in settings and documents."""
 
 import ipaddress
 
@@ -6,7 +6,7 @@
 
 
 def is_address(text: str) -> bool:
-    """Tell whether the text is an IP address and a port; port 0 is any."""
+    """Return whether the text is an IP address and a port. Port 0 means any port."""
     host, _, port = text.rpartition(":")
     try:
         ipaddress.ip_address(host.strip("[]"))
@@ -16,6 +16,6 @@
 
 
 def split_address(text: str) -> tuple[str, int]:
-    """Return host and port of an address that `is_address` accepts."""
+    """Split an address that `is_address` accepts into host and port."""
     host, _, port = text.rpartition(":")
     return host.strip("[]"), int(port)
--- a/packages/coordination/plantainshed_coordination/digests.py
+++ b/packages/coordination/plantainshed_coordination/digests.py
@@ -1,8 +1,8 @@
-"""Digests and rendezvous weights.
+"""Content digests and rendezvous hashing.
 
-Content is named by a cryptographic digest. Choices that many VMs must make
-alike without talking (which peer, which prober, which region for a block) use
-a fast seedless hash, so that all of them compute the same order.
+Content is identified by a cryptographic digest. Choices that many VMs must make
+identically without coordination (which peer, which prober, which region for a
+block) use a fast unseeded hash, so that all VMs compute the same order.
 """
 
 import hashlib
@@ -20,16 +20,16 @@
 
 
 def unit_hash(*parts: str) -> float:
-    """Return a number in (0, 1) that depends on the parts alone."""
+    """Return a number in (0, 1) that depends only on the parts."""
     digest = xxhash.xxh64_intdigest("\x00".join(parts).encode())
     return (digest + 0.5) / HASH_SPAN
 
 
 def rendezvous_order(key: str, names: Iterable[str]) -> list[str]:
-    """Return the names by falling rendezvous score for the key.
+    """Return the names in descending order of rendezvous score for the key.
 
-    When one name leaves, the others keep their order, so only what stood on
-    the lost name moves.
+    When a name is removed, the others keep their order, so only the keys of the
+    removed name move.
     """
     return sorted(names, key=lambda name: (unit_hash(key, name), name), reverse=True)
 
@@ -37,8 +37,8 @@
 def weighted_score(key: str, name: str, weight: float) -> float:
     """Return the weighted rendezvous score; the highest score wins.
 
-    Over many keys a name wins in proportion to its weight, and raising one
-    weight moves keys only towards that name.
+    Over many keys, each name wins in proportion to its weight. Increasing the
+    weight of a name moves keys only to that name.
     """
     if weight <= 0:
         return -math.inf
--- a/packages/coordination/plantainshed_coordination/errors.py
+++ b/packages/coordination/plantainshed_coordination/errors.py
@@ -1,20 +1,20 @@
-"""Errors of the coordination parts.
+"""Errors of the coordination library.
 
-Each layer turns the errors of the layer below into its own: a platform client
-raises `PlatformError`, and what uses it raises one of the others.
+Each layer converts the errors of the layer below into its own. A platform client
+raises `PlatformError`, and the code that uses it raises one of the other errors.
 """
 
 
 class CoordinationError(Exception):
-    """Base of every error that this library raises on purpose."""
+    """Base class of all errors that this library raises deliberately."""
 
 
 class PlatformError(CoordinationError):
-    """The platform's object store did not do what was asked."""
+    """The platform's object store did not complete a request."""
 
 
 class VersionConflict(PlatformError):
-    """A conditional write was refused: the object has another version by now."""
+    """A conditional write was rejected because the object's version differs."""
 
 
 class ObjectMissing(PlatformError):
@@ -22,11 +22,11 @@
 
 
 class PlatformUnavailable(PlatformError):
-    """The store refused or could not be reached; nothing was changed."""
+    """The store was unreachable or rejected the request; nothing was changed."""
 
 
 class OutcomeUnknown(PlatformError):
-    """No answer came to a write; it may or may not have taken effect."""
+    """The answer to a write was lost; the write may or may not have taken effect."""
 
 
 class DocumentError(CoordinationError):
@@ -34,12 +34,12 @@
 
 
 class StaleBase(DocumentError):
-    """The document was changed by somebody else since it was read.
+    """The document was changed by another author since it was read.
 
     Parameters
     ----------
     base_version : int
-        Version that the change started from.
+        Version that the change is based on.
     current_version : int
         Version that is stored now.
     """
@@ -47,27 +47,27 @@
     def __init__(self, base_version, current_version):
         super().__init__(
             f"the document is at version {current_version}, "
-            f"but the change started from version {base_version}"
+            f"but the change is based on version {base_version}"
         )
         self.base_version = base_version
         self.current_version = current_version
 
 
 class SegmentMissing(DocumentError):
-    """A segment that a revision names is nowhere to be had."""
+    """A segment of a revision is missing or cannot be read."""
 
 
 class CommitUnconfirmed(DocumentError):
-    """The store did not say whether the change took effect; ask again later."""
+    """The store did not confirm the change; the change can be retried later."""
 
 
 class PeerError(CoordinationError):
-    """A peer could not be asked."""
+    """A request to a peer failed."""
 
 
 class PeerTimeout(PeerError):
-    """A peer did not answer in time."""
+    """A peer did not reply in time."""
 
 
 class PeerRefused(PeerError):
-    """A peer answered that it does not have what was asked for."""
+    """A peer replied that it does not have the requested value."""
--- a/packages/coordination/plantainshed_coordination/identity.py
+++ b/packages/coordination/plantainshed_coordination/identity.py
@@ -1,4 +1,4 @@
-"""Who a VM is, and which run of its process."""
+"""Identity of a VM and of the current process on it."""
 
 from attrs import frozen
 
@@ -7,15 +7,16 @@
 
 @frozen
 class Identity:
-    """One run of the daemon on one VM.
+    """Identifies one process of the daemon on one VM.
 
     Parameters
     ----------
     vm : str
     failure_domain : str
     incarnation : int
-        Grows with each start of the process on that VM, so that what an
-        earlier run held, promised or remembered is never taken for this one's.
+        Increases with each start of the process on that VM, so that holdings,
+        promises and records of an earlier process are never attributed to this
+        one.
     """
 
     vm: str
@@ -24,16 +25,16 @@
 
     @property
     def holder(self) -> str:
-        """Name under which leases and ledgers know this run."""
+        """Name of this process in leases and ledgers."""
         return holder_name(self.vm, self.incarnation)
 
 
 def holder_name(vm: str, incarnation: int) -> str:
-    """Return the name under which leases and ledgers know a run."""
+    """Return the name of a process in leases and ledgers."""
     return f"{vm}{SEPARATOR}{incarnation}"
 
 
 def split_holder(holder: str) -> tuple[str, int]:
-    """Return VM and incarnation of a holder's name."""
+    """Split a holder name into VM and incarnation."""
     vm, _, incarnation = holder.rpartition(SEPARATOR)
     return vm, int(incarnation)
--- a/packages/coordination/plantainshed_coordination/nurseries.py
+++ b/packages/coordination/plantainshed_coordination/nurseries.py
@@ -1,4 +1,4 @@
-"""A nursery whose errors come out as they were raised."""
+"""A nursery that raises errors without wrapping them in an exception group."""
 
 import contextlib
 
@@ -7,10 +7,10 @@
 
 @contextlib.asynccontextmanager
 async def open_plain_nursery():
-    """Open a nursery that raises the first error itself, not a group of one.
+    """Open a nursery that raises the first error itself, not an exception group.
 
-    For blocks that look straight-line to their callers, who catch errors of
-    their own layer and must not care that a task helped inside.
+    For functions that use a task internally while their callers catch plain
+    exceptions and should not depend on that detail.
     """
     try:
         async with trio.open_nursery() as nursery:
--- a/packages/coordination/plantainshed_coordination/signals.py
+++ b/packages/coordination/plantainshed_coordination/signals.py
@@ -1,4 +1,4 @@
-"""The system's signals, received for as long as a process runs."""
+"""Handling of operating system signals for the lifetime of a process."""
 
 import contextlib
 import signal
@@ -11,16 +11,16 @@
 
 @contextlib.contextmanager
 def open_signals() -> Iterator[AsyncIterator[int]]:
-    """Yield the signals to stop and to reload, in whichever state they come.
+    """Yield the stop and reload signals, including stop signals that arrive early.
 
-    For the main task of a process, around all that it does: whatever comes while
-    nothing receives signals ends the process at once, with all its requests. After
-    the block requests to stop are ignored, for the process is about to end: it
-    would otherwise end as one that failed to stop.
+    The main task of a process runs all its work inside this context, because a
+    signal without a handler ends the process at once and breaks all its requests.
+    After the context, stop signals are ignored because the process is about to
+    end. Otherwise such a signal would end it with a failure status.
     """
     early: list[int] = []
     for number in STOP_SIGNALS:
-        # What the receiver puts back when it closes, in place of the default.
+        # The signal receiver restores this handler, not the default, when it closes.
         signal.signal(number, lambda number, _: early.append(number))
     try:
         with trio.open_signal_receiver(*STOP_SIGNALS, signal.SIGHUP) as received:
