--- a/packages/measure/plantainshed_measure/capacity.py
+++ b/packages/measure/plantainshed_measure/capacity.py
@@ -9,7 +9,7 @@
 import fire
 import trio
 
-from plantainshed_coordination.summaries import DELEGATES, FULL_EVERY
+from plantainshed_coordination.summaries import DELEGATES_PER_DOMAIN, FULL_EVERY
 from plantainshed_model.codec import to_segments
 
 from .bench import bench_lookup, large_document
@@ -96,7 +96,7 @@
     datagram_us = costs["UDP datagram, one way, authenticated"]
     beats = HEARTBEATS_S * (heartbeat_us + datagram_us)
     sizes = message_bytes(PEERS_A_DOMAIN)
-    summaries_s = DELEGATES * (DOMAINS - 1) / PEERS_A_DOMAIN
+    summaries_s = DELEGATES_PER_DOMAIN * (DOMAINS - 1) / PEERS_A_DOMAIN
     # Both directions; one summary in five is full, the others carry the
     # sender's record and what is new.
     beat_bytes = 2 * HEARTBEATS_S * sizes["heartbeat"]
