--- a/packages/measure/plantainshed_measure/capacity.py
+++ b/packages/measure/plantainshed_measure/capacity.py
@@ -9,7 +9,7 @@
 import fire
 import trio
 
-from plantainshed_coordination.summaries import DELEGATES_PER_DOMAIN, FULL_EVERY
+from plantainshed_coordination.summaries import DELEGATES_PER_DOMAIN, FULL_SUMMARY_EVERY
 from plantainshed_model.codec import to_segments
 
 from .bench import bench_lookup, large_document
@@ -100,7 +100,7 @@
     # Both directions; one summary in five is full, the others carry the
     # sender's record and what is new.
     beat_bytes = 2 * HEARTBEATS_S * sizes["heartbeat"]
-    summary_bytes = 2 * summaries_s * sizes["summary"] / FULL_EVERY
+    summary_bytes = 2 * summaries_s * sizes["summary"] / FULL_SUMMARY_EVERY
     change_us = by_name["change applied, blocks unchanged"].at(WORKSPACES)
     return [
         "| limit of the planned size | measured beside it |",
