--- a/examples/embed_budget.py
+++ b/examples/embed_budget.py
@@ -1,7 +1,7 @@
-"""Three members share one rate, without the daemons.
+"""Share one rate limit among three members, without the daemons.
 
-Run it with ``python examples/embed_budget.py``. The network and the store are
-in memory here; a real program passes `DatagramTransport` and its own platform.
+Run it with ``python examples/embed_budget.py``. The network and the store are in
+memory. A real program uses `DatagramTransport` and its own platform client.
 """
 
 import trio
@@ -24,7 +24,7 @@
 
 
 def join(vm, network, platform, nursery) -> Lending:
-    """Start one member; return what it takes tokens from."""
+    """Start one member and return the object that grants it tokens."""
     peers = PeerNetwork(Identity(vm, "zone", 1), network.open(vm))
     seeds = [SeedMember(name, "zone", name) for name in MEMBERS]
     record = MemberRecord(vm=vm, failure_domain="zone", incarnation=1, peer=vm)
@@ -45,7 +45,7 @@
 
 
 async def main():
-    """Have one member ask for twice the whole rate for ten seconds."""
+    """Request twice the total rate from one member for ten seconds."""
     async with trio.open_nursery() as nursery:
         network, platform = MemoryNetwork(), MemoryPlatform()
         members = [join(vm, network, platform, nursery) for vm in MEMBERS]
--- a/tests/coordination/test_follower.py
+++ b/tests/coordination/test_follower.py
@@ -1,4 +1,4 @@
-"""Following the document, from store and peers."""
+"""Following a document from the store and from peers."""
 
 import unittest
 
@@ -66,7 +66,7 @@
 
     @on_mock_clock
     async def test_fresh_vm_starts_from_a_peer_while_the_store_is_down(self):
-        """After a replacement during a store outage a VM serves nobody."""
+        """Guards against a VM replaced during a store outage not serving callers."""
         following = FollowerFleet()
         async with following.fleet.running() as vms:
             for vm in vms:
@@ -99,10 +99,11 @@
 
     @on_mock_clock
     async def test_version_that_is_not_valid_leaves_the_old_one(self):
-        """A bad document takes the fleet down.
+        """Guards against an invalid document taking down the fleet.
 
-        Something writes a document that no checker has seen; each VM must
-        keep what it has, say so, and take the next good one.
+        A document that no validation has checked is written to the store. Each
+        VM must keep its version, report the refused one, and install the next
+        valid version.
         """
         following = FollowerFleet()
         async with following.fleet.running() as vms:
@@ -120,7 +121,10 @@
 
     @on_mock_clock
     async def test_frozen_peer_keeps_no_other_from_being_asked(self):
-        """A version that several peers had came 5 s late, the time of one call."""
+        """Guards against a hung peer delaying a version that other peers have.
+
+        Before the fix, the version arrived 5 s late, the duration of one call.
+        """
         following = FollowerFleet()
         async with following.fleet.running() as vms:
             for vm in vms:
@@ -136,7 +140,11 @@
 
     @on_mock_clock
     async def test_version_whose_segments_could_not_be_read_is_read_again(self):
-        """A version met a short outage and was put in force with the next one only."""
+        """Guards against skipping a version because of a short outage.
+
+        Segments of a version could not be read, and the version was not
+        installed until the next one was written.
+        """
         following = FollowerFleet()
         async with following.fleet.running() as vms:
             platform = FaultyReads(following.fleet.platform)
@@ -153,7 +161,10 @@
 
     @on_mock_clock
     async def test_version_is_found_though_no_watch_is_answered(self):
-        """Every VM kept an old document for as long as a watch may wait."""
+        """Guards against keeping an old document for as long as a watch waits.
+
+        The store never answers the watches, so only polls find the new version.
+        """
         following = FollowerFleet()
         async with following.fleet.running() as vms:
             platform = FaultyReads(following.fleet.platform)
@@ -171,7 +182,11 @@
 
     @on_mock_clock
     async def test_quiet_store_that_answers_is_not_silent(self):
-        """A store with nothing to tell counted as silent, an incident, after 75 s."""
+        """Guards against reporting a healthy store without changes as silent.
+
+        After 75 s without a change, the store counted as silent, which opened an
+        incident.
+        """
         following = FollowerFleet()
         async with following.fleet.running() as vms:
             for vm in vms:
@@ -198,7 +213,7 @@
 
 
 class FirstPeerHangs:
-    """Fetches from peers, of which the first that is asked gives no answer."""
+    """A bulk source whose first requested peer does not answer."""
 
     def __init__(self, bulk):
         self.bulk = bulk
@@ -213,7 +228,7 @@
 
 
 class UnavailablePlatform:
-    """A platform that never answers a watch and refuses the rest."""
+    """A platform that never answers watches and rejects other calls."""
 
     async def get(self, kind, name):
         raise PlatformUnavailable("down")
@@ -223,7 +238,7 @@
 
 
 class FaultyReads:
-    """A platform of which some reads are not answered as they should be.
+    """A platform that fails some reads or never answers watches.
 
     Attributes
     ----------
--- a/tests/coordination/test_leases.py
+++ b/tests/coordination/test_leases.py
@@ -1,4 +1,4 @@
-"""Leases in the store."""
+"""Leases in the platform's object store."""
 
 import unittest
 
@@ -29,10 +29,10 @@
 
     @on_mock_clock
     async def test_paused_holder_finds_that_it_lost_it(self):
-        """Two VMs both believe that they rebalance.
+        """Guards against two VMs acting as rebalancer at the same time.
 
-        The holder is paused past the time to live, another one takes over,
-        and the first one renews on waking.
+        The holder is paused for longer than the time to live, another VM
+        acquires the lease, and the first one tries to renew when it resumes.
         """
         platform = MemoryPlatform()
         first, second = (Lease(platform, "x", name) for name in ("a~1", "b~1"))
@@ -46,10 +46,11 @@
 
     @on_mock_clock
     async def test_is_not_believed_longer_than_others_wait(self):
-        """Both hold it for a moment: the renewal's answer came late.
+        """Guards against two VMs holding the lease after a slow renewal.
 
-        The store took the renewal at once but answered slowly; counting from
-        the answer, the holder would believe in it longer than others wait.
+        The store applies the renewal at once but answers slowly. If the time to
+        live were counted from the answer, the holder would rely on the lease for
+        longer than other VMs wait.
         """
         platform = MemoryPlatform()
         lease = Lease(platform, "x", "a~1")
--- a/tests/coordination/test_membership.py
+++ b/tests/coordination/test_membership.py
@@ -1,4 +1,4 @@
-"""Who is there, who is not, and who must stop."""
+"""Membership, failure detection and superseded processes."""
 
 import unittest
 
@@ -37,9 +37,10 @@
 
     @on_mock_clock
     async def test_one_lost_link_makes_nobody_suspect(self):
-        """Callers are steered away from a healthy VM.
+        """Guards against steering callers away from a healthy VM.
 
-        Two VMs of a domain cannot reach each other, while a third hears both.
+        Two VMs of a failure domain cannot reach each other, while a third VM
+        receives the heartbeats of both.
         """
         fleet = PartsFleet((("a-1", "a"), ("a-2", "a"), ("a-3", "a")))
         async with fleet.running() as vms:
@@ -70,10 +71,10 @@
 
     @on_mock_clock
     async def test_paused_vm_does_not_trust_what_it_knew(self):
-        """A VM admits requests with a key that was withdrawn minutes ago.
+        """Guards against admitting requests with a key withdrawn minutes ago.
 
-        Its process is paused, the key is withdrawn meanwhile, and on waking a
-        waiting request is admitted before any news has arrived.
+        The process is paused while the key is withdrawn. When it resumes, it
+        admits a waiting request before any update has arrived.
         """
         fleet = PartsFleet(FOUR_VMS)
         async with fleet.running() as vms:
@@ -87,10 +88,11 @@
 
     @on_mock_clock
     async def test_replaced_run_that_wakes_must_stop(self):
-        """Two runs of one VM use the same limits.
+        """Guards against two processes of one VM using the same limits.
 
-        A run is paused, the platform starts another under its name, and the
-        first one wakes and goes on with parts that were given to others.
+        A process is paused and the platform starts another one under the same
+        name. The first one resumes and keeps using shares of the budgets that
+        have been given to other VMs.
         """
         fleet = PartsFleet(FOUR_VMS)
         async with fleet.running() as vms:
@@ -108,10 +110,10 @@
 
     @on_mock_clock
     async def test_run_with_a_clock_behind_takes_the_next_incarnation(self):
-        """A restarted VM is never heard, since it seems to be an old run.
+        """Guards against ignoring a restarted VM as an earlier incarnation.
 
-        The VM's clock went back between two starts, so that the new run has
-        the lower incarnation.
+        The VM's clock went back between two starts, so the new process has the
+        lower incarnation.
         """
         fleet = PartsFleet(FOUR_VMS)
         fleet.incarnation = 100
@@ -129,10 +131,10 @@
 
     @on_mock_clock
     async def test_domain_stays_reachable_when_its_oldest_vm_dies(self):
-        """A healthy failure domain seems cut off for hours.
+        """Guards against a healthy failure domain seeming unreachable for hours.
 
-        Its longest-running VM, whose beats have counted far, dies. Those of
-        the other VM are lower and were taken for old ones.
+        The longest-running VM of the domain, with the highest summary number,
+        dies. The lower numbers of the other VM were treated as outdated.
         """
         fleet = PartsFleet(FOUR_VMS)
         async with fleet.running() as vms:
--- a/tests/coordination/test_operations.py
+++ b/tests/coordination/test_operations.py
@@ -1,4 +1,4 @@
-"""At most once, over several VMs."""
+"""At-most-once operations across several VMs."""
 
 import unittest
 
@@ -51,10 +51,10 @@
 
     @on_mock_clock
     async def test_repeat_after_the_first_vm_died_is_unknown(self):
-        """A family gets two chairs and another family none.
+        """Guards against executing an operation twice, such as a booking.
 
-        The VM that ran the booking dies before it answers; the caller sends
-        the booking to another VM, which has never heard of it.
+        The VM that ran the booking dies before it answers. The caller retries
+        at another VM, which has no record of the operation.
         """
         fleet = PartsFleet(FOUR_VMS)
         async with fleet.running() as vms:
@@ -91,10 +91,10 @@
 
     @on_mock_clock
     async def test_what_was_forgotten_is_unknown_not_new(self):
-        """A booking is made again an hour later.
+        """Guards against executing a booking again an hour later.
 
-        The record of it was dropped to bound the memory, and a repeat that
-        comes late looks like a first attempt.
+        The record was removed to limit memory use, so a late retry looks like
+        a first attempt.
         """
         fleet = PartsFleet(FOUR_VMS)
         async with fleet.running() as vms:
--- a/tests/coordination/test_rumors.py
+++ b/tests/coordination/test_rumors.py
@@ -1,4 +1,4 @@
-"""Statements that have to reach every VM."""
+"""Rumors, which must reach every VM."""
 
 import unittest
 
@@ -21,10 +21,10 @@
 
     @on_mock_clock
     async def test_reaches_a_domain_that_was_cut_off_for_long(self):
-        """A withdrawn key works for ever in one failure domain.
+        """Guards against a withdrawn key staying valid in one failure domain.
 
-        The domain was cut off while the key was withdrawn, and the flooding
-        had long ended when the cut healed.
+        The domain was partitioned while the key was withdrawn, and flooding
+        had ended long before the partition healed.
         """
         fleet = PartsFleet(FOUR_VMS)
         async with fleet.running() as vms:
@@ -39,7 +39,7 @@
 
     @on_mock_clock
     async def test_reaches_a_fresh_vm(self):
-        """A key that was withdrawn works again on a VM that was replaced."""
+        """Guards against a withdrawn key becoming valid again on a replaced VM."""
         fleet = PartsFleet(FOUR_VMS)
         async with fleet.running() as vms:
             await trio.sleep(5)
--- a/tests/coordination/test_versioned.py
+++ b/tests/coordination/test_versioned.py
@@ -1,4 +1,4 @@
-"""The versioned document in the store."""
+"""Versioned documents in the platform's object store."""
 
 import unittest
 
@@ -30,10 +30,10 @@
 
     @on_mock_clock
     async def test_second_of_two_operators_is_told(self):
-        """An operator's drain vanishes without a word.
+        """Guards against silently losing an operator's change, such as a drain.
 
-        Two operators start from version 1; both save; the second one's text
-        does not have what the first one changed.
+        Two operators edit version 1 and both save. The second text does not
+        contain the change of the first operator.
         """
         store = DocumentStore(MemoryPlatform())
         await store.commit(change(0, "c1"))
@@ -44,10 +44,10 @@
 
     @on_mock_clock
     async def test_lost_answers_apply_a_change_once(self):
-        """An operator sees a conflict with their own change.
+        """Guards against a conflict between a change and its own retry.
 
-        The store takes the write, its answer is lost, and the second try
-        finds another version than it started from.
+        The store applies the write and its answer is lost. The retry then finds
+        a newer version than the one the change is based on.
         """
         platform = MemoryPlatform()
         store = DocumentStore(platform)
@@ -71,7 +71,7 @@
     @given(st.lists(st.tuples(st.booleans(), st.integers(0, 3)), max_size=12))
     @settings(max_examples=60, derandomize=True, deadline=None)
     def test_races_and_lost_answers_lose_and_double_nothing(self, steps):
-        """Two writers race while answers get lost; each change counts once."""
+        """Two writers race while answers are lost; each change is applied once."""
 
         async def body():
             platform = MemoryPlatform()
