--- a/examples/embed_budget.py
+++ b/examples/embed_budget.py
@@ -58,7 +58,7 @@
         for _ in range(2000):
             nursery.start_soon(ask)
             await trio.sleep(0.005)
-        print(f"granted {sum(granted)} of 2000 in 10 s; allowed are 10 * 100 + 50")
+        print(f"granted {sum(granted)} of 2000 in 10 s; the limit is 10 * 100 + 50")
         nursery.cancel_scope.cancel()
 
 
--- a/packages/coordination/plantainshed_coordination/follower.py
+++ b/packages/coordination/plantainshed_coordination/follower.py
@@ -204,7 +204,7 @@
                 segments[digest] = await self._fetch(digest, fetch_segment)
         if revision.version <= self.revision.version:
             # A newer or equal version was installed from another source during
-            # the fetch. Installing this one would revert to an older version.
+            # the fetch. Installing this one could revert to an older version.
             return
         texts = {name: segments[d] for name, d in revision.segments.items()}
         try:
--- a/packages/coordination/plantainshed_coordination/operations.py
+++ b/packages/coordination/plantainshed_coordination/operations.py
@@ -66,7 +66,7 @@
 
     @classmethod
     def parse(cls, text: str) -> "OperationId":
-        """Read an id such as ``mil-a-1~1764720000000~3~9f2c``."""
+        """Parse an id such as ``mil-a-1~1764720000000~3~9f2c``."""
         parts = text.split(SEPARATOR)
         try:
             vm, incarnation, epoch, nonce = parts
--- a/packages/coordination/plantainshed_coordination/rumors.py
+++ b/packages/coordination/plantainshed_coordination/rumors.py
@@ -86,7 +86,7 @@
     def publish(
         self, topic: str, name: str, value: bytes = b"", ttl_s: float = FOREVER
     ) -> bool:
-        """Publish or renew a rumor; return whether this VM did not have it yet."""
+        """Publish or renew a rumor; return whether it was stored as new."""
         key = RumorKey(topic, name)
         known = self.heard.get(key)
         stamp = known.stamp + 1 if known and ttl_s != FOREVER else 1
