--- a/packages/coordination/plantainshed_coordination/leases.py
+++ b/packages/coordination/plantainshed_coordination/leases.py
@@ -1,10 +1,11 @@
-"""Leases kept in the platform's store, judged by each observer's own clock.
-
-No two clocks are compared. Whoever wants a lease watches the object's version:
-when that has not changed for the whole time to live, its holder has stopped
-renewing, and a conditional write takes it over. A holder that was paused finds
-its own renewal refused; whatever it does meanwhile has to be fenced by the
-version of what it writes.
+"""Leases in the platform's object store, timed by each candidate's own clock.
+
+Clocks of different VMs are never compared. A candidate observes the version of
+the lease object. If the version has not changed for the whole time to live, the
+holder has stopped renewing, and the candidate acquires the lease by a
+conditional write. If a holder was paused and lost the lease, its next renewal is
+rejected. Its writes before that must be fenced by the version of the objects
+that it writes.
 """
 
 import json
@@ -21,22 +22,22 @@
 
 
 @frozen
-class SeenLease:
-    """A lease as it was last read.
+class ObservedLease:
+    """State of a lease when it was last read or written.
 
     Parameters
     ----------
     holder : str
-        Empty when it was given back.
+        Empty if the lease was released.
     version : int
         Version of the object in the store.
-    seen_at : float
+    observed_at : float
         When this version was first seen, by this process's clock.
     """
 
     holder: str
     version: int
-    seen_at: float
+    observed_at: float
 
 
 class Lease:
@@ -58,30 +59,30 @@
         self.name = name
         self.holder = holder
         self.ttl_s = ttl_s
-        self.seen: SeenLease | None = None
+        self.observed: ObservedLease | None = None
         self.renewed_at = -ttl_s
 
     @property
     def is_held(self) -> bool:
-        """Whether this candidate may believe that it holds the lease.
+        """Whether this candidate holds the lease, by its own clock.
 
-        Nobody can have taken it over before the time to live has passed since
-        the last renewal began.
+        No other candidate can acquire the lease before the time to live has
+        passed since the start of the last successful renewal.
         """
         return trio.current_time() - self.renewed_at < self.ttl_s
 
     @property
-    def renewal_s(self) -> float:
-        """How often to call `try_hold`, in seconds."""
+    def renew_interval_s(self) -> float:
+        """Interval between calls of `try_hold`, in seconds."""
         return self.ttl_s / 3
 
     async def try_hold(self) -> bool:
-        """Take or renew the lease if that is possible now."""
+        """Acquire or renew the lease; return whether this candidate holds it."""
         began_at = trio.current_time()
         try:
             if not self.is_held:
-                await self._look()
-                if not self._may_take():
+                await self._read()
+                if not self._can_acquire():
                     return False
             await self._write(self.holder)
         except PlatformError:
@@ -89,40 +90,40 @@
         self.renewed_at = began_at
         return True
 
-    async def give_back(self):
-        """Let somebody else have it at once, on a planned stop."""
+    async def release(self):
+        """Release the lease on a planned stop, so that others need not wait."""
         if not self.is_held:
             return
         self.renewed_at = -self.ttl_s
         try:
             await self._write(FREE)
         except PlatformError:
-            # It lapses by itself; nobody waits for this.
+            # The lease expires by itself, and no caller depends on the release.
             return
 
-    async def _look(self):
+    async def _read(self):
         try:
             stored = await self.platform.get(LEASE_KIND, self.name)
         except ObjectMissing:
-            self.seen = SeenLease(FREE, ABSENT, trio.current_time())
+            self.observed = ObservedLease(FREE, ABSENT, trio.current_time())
             return
-        if self.seen is None or self.seen.version != stored.version:
+        if self.observed is None or self.observed.version != stored.version:
             holder = json.loads(stored.value)["holder"]
-            self.seen = SeenLease(holder, stored.version, trio.current_time())
+            self.observed = ObservedLease(holder, stored.version, trio.current_time())
 
-    def _may_take(self) -> bool:
-        if self.seen.holder in (FREE, self.holder):
+    def _can_acquire(self) -> bool:
+        if self.observed.holder in (FREE, self.holder):
             return True
-        return trio.current_time() - self.seen.seen_at >= self.ttl_s
+        return trio.current_time() - self.observed.observed_at >= self.ttl_s
 
     async def _write(self, holder: str):
         value = json.dumps({"holder": holder}).encode()
         try:
             version = await self.platform.put(
-                LEASE_KIND, self.name, value, self.seen.version
+                LEASE_KIND, self.name, value, self.observed.version
             )
         except VersionConflict:
-            self.seen = None
+            self.observed = None
             self.renewed_at = -self.ttl_s
             raise
-        self.seen = SeenLease(holder, version, trio.current_time())
+        self.observed = ObservedLease(holder, version, trio.current_time())
--- a/packages/coordination/plantainshed_coordination/network.py
+++ b/packages/coordination/plantainshed_coordination/network.py
@@ -1,4 +1,4 @@
-"""Messages between VMs: sending, asking, and handing on what arrives."""
+"""Messages between VMs: sending, requests with replies, and dispatch to handlers."""
 
 import itertools
 from collections import Counter, OrderedDict
@@ -14,12 +14,12 @@
 
 HandlerResult = Awaitable[object | None]
 PeerHandler = Callable[["Sender", object], HandlerResult]
-REPEATS = 2
-REMEMBERED_ANSWERS = 4096
+SEND_ATTEMPTS = 2
+MAX_CACHED_REPLIES = 4096
 
 
 class Sender:
-    """Who sent a message.
+    """The sender of a message.
 
     Parameters
     ----------
@@ -35,7 +35,7 @@
 
 
 class PeerNetwork:
-    """Names VMs instead of addresses, and matches answers to questions.
+    """Addresses VMs by name, and matches replies to requests.
 
     Parameters
     ----------
@@ -45,15 +45,15 @@
     Attributes
     ----------
     addresses : dict of str to str
-        Where each VM receives datagrams; kept by membership.
+        Datagram address of each VM; maintained by `Membership`.
     handlers : dict of str to callable
-        By the field name of the message in `Envelope`. What a handler returns
-        is sent back as the answer.
+        By the field name of the message in `Envelope`. The return value of a
+        handler is sent back as the reply.
     late_answer_handlers : dict of str to callable
-        By the answer's field name; told which VM answered a question that has
-        been given up, or once more one that it had answered.
+        By the field name of the reply. Called with the name of the VM whose reply
+        arrived after its request timed out or was already answered.
     received : collections.Counter
-        Messages by field name.
+        Number of received messages by field name.
     """
 
     def __init__(self, identity: Identity, transport: Transport):
@@ -65,11 +65,11 @@
         self.received = Counter()
         self.sent = Counter()
         self._request_ids = itertools.count(1)
-        self._waiting: dict[int, _Answer] = {}
-        self._answered: OrderedDict[tuple[str, int, int], object] = OrderedDict()
+        self._pending: dict[int, _PendingRequest] = {}
+        self._replies: OrderedDict[tuple[str, int, int], object] = OrderedDict()
 
     async def run(self):
-        """Receive messages for ever; each is handled in its turn."""
+        """Receive messages until cancelled, and handle each in a task of its own."""
         async with trio.open_nursery() as nursery:
             while True:
                 data = await self.transport.receive()
@@ -82,7 +82,7 @@
                 nursery.start_soon(self._handle, envelope)
 
     async def send(self, vm: str, field: str, message) -> None:
-        """Send a message to a VM; it may get lost."""
+        """Send a message to a VM. Delivery is not guaranteed."""
         address = self.addresses.get(vm)
         if address is not None:
             await self.send_to(address, field, message)
@@ -97,24 +97,24 @@
         await self.transport.send(address, envelope.SerializeToString())
 
     async def ask(self, vm: str, field: str, message, timeout_s: float):
-        """Send a message and return its answer, or raise `PeerTimeout`.
+        """Send a request and return its reply, or raise `PeerTimeout`.
 
-        The question is repeated once, halfway. The other side handles it once
-        and answers each repeat with the same answer.
+        The request is sent a second time after half of the timeout. The receiver
+        handles it once and sends the same reply to each copy.
         """
         address = self.addresses.get(vm)
         if address is None:
             raise PeerTimeout(f"{vm}: no address is known")
         request_id = next(self._request_ids)
-        answer = self._waiting[request_id] = _Answer()
+        pending = self._pending[request_id] = _PendingRequest()
         try:
-            for _ in range(REPEATS):
+            for _ in range(SEND_ATTEMPTS):
                 await self.send_to(address, field, message, request_id=request_id)
-                with trio.move_on_after(timeout_s / REPEATS):
-                    await answer.arrived.wait()
-                    return answer.message
+                with trio.move_on_after(timeout_s / SEND_ATTEMPTS):
+                    await pending.arrived.wait()
+                    return pending.message
         finally:
-            del self._waiting[request_id]
+            del self._pending[request_id]
         raise PeerTimeout(f"{vm}: no answer to {field} in {timeout_s:g} s")
 
     async def _handle(self, envelope):
@@ -124,7 +124,7 @@
         self.received[field] += 1
         message = getattr(envelope, field)
         if envelope.is_reply:
-            self._take_answer(envelope, field, message)
+            self._deliver_reply(envelope, field, message)
             return
         handler = self.handlers.get(field)
         if handler is None:
@@ -133,30 +133,31 @@
         if not envelope.request_id:
             await handler(sender, message)
             return
-        question = (envelope.vm, envelope.incarnation, envelope.request_id)
-        if question not in self._answered:
-            # A repeated question must not be handled twice: a lender would
-            # lend twice and the borrower would hear of one loan only.
-            self._remember(question, None)
-            self._remember(question, await handler(sender, message))
-        reply = self._answered[question]
+        request_key = (envelope.vm, envelope.incarnation, envelope.request_id)
+        if request_key not in self._replies:
+            # A duplicate request must not be handled twice. Otherwise a lender
+            # would grant two loans and the borrower would learn of only one.
+            self._cache_reply(request_key, None)
+            self._cache_reply(request_key, await handler(sender, message))
+        reply = self._replies[request_key]
         if reply is not None:
             await self._reply(envelope, reply)
 
-    def _take_answer(self, envelope, field: str, message):
-        # An answer that comes after its question was given up has no waiting
-        # entry left; it never reaches another one.
-        answer = self._waiting.get(envelope.request_id)
-        if answer is not None:
-            answer.message = message
-            answer.arrived.set()
+    def _deliver_reply(self, envelope, field: str, message):
+        # A reply that arrives after its request timed out has no pending entry.
+        # This process does not reuse request ids, so the reply cannot be matched to
+        # another request.
+        pending = self._pending.get(envelope.request_id)
+        if pending is not None:
+            pending.message = message
+            pending.arrived.set()
         elif field in self.late_answer_handlers:
             self.late_answer_handlers[field](envelope.vm)
 
-    def _remember(self, question, reply):
-        self._answered[question] = reply
-        while len(self._answered) > REMEMBERED_ANSWERS:
-            self._answered.popitem(last=False)
+    def _cache_reply(self, request_key, reply):
+        self._replies[request_key] = reply
+        while len(self._replies) > MAX_CACHED_REPLIES:
+            self._replies.popitem(last=False)
 
     async def _reply(self, envelope, reply):
         field = FIELD_OF_TYPE[type(reply)]
@@ -167,7 +168,7 @@
             )
 
 
-class _Answer:
+class _PendingRequest:
     __slots__ = ("arrived", "message")
 
     def __init__(self):
--- a/packages/coordination/plantainshed_coordination/rebalance_plan.py
+++ b/packages/coordination/plantainshed_coordination/rebalance_plan.py
@@ -134,7 +134,7 @@
         paused, it detects this when it resumes, and stops.
         """
         now = trio.current_time()
-        return self.membership.table.is_over(*split_holder(holder), now)
+        return self.membership.table.is_reclaimable(*split_holder(holder), now)
 
     def _is_significant(self, spec: BudgetSpec, entry: LedgerEntry, desired) -> bool:
         if entry.total != spec.units or entry.held_units < sum(desired.values()):
--- a/packages/coordination/plantainshed_coordination/rebalancer.py
+++ b/packages/coordination/plantainshed_coordination/rebalancer.py
@@ -90,7 +90,7 @@
         while True:
             await self._try_lease()
             if self.lease.is_held:
-                await trio.sleep(self.lease.renewal_s)
+                await trio.sleep(self.lease.renew_interval_s)
             else:
                 rank = self._rank(candidates())
                 await trio.sleep(min(LEASE_RETRY_MAX_S, LEASE_RETRY_BASE_S * 2**rank))
@@ -110,8 +110,8 @@
             if not was_held:
                 self.ledger = None
                 self.transferred_tokens = {}
-        elif self.lease.seen and self.lease.seen.holder:
-            vm, _ = split_holder(self.lease.seen.holder)
+        elif self.lease.observed and self.lease.observed.holder:
+            vm, _ = split_holder(self.lease.observed.holder)
             self.holdings.rebalancer_by_shard[self.shard] = vm
 
     async def _try_rebalance(self):
--- a/packages/entry/plantainshed_entry/node.py
+++ b/packages/entry/plantainshed_entry/node.py
@@ -18,7 +18,7 @@
 from plantainshed_coordination.members import MemberState
 from plantainshed_coordination.membership import Membership, SeedMember
 from plantainshed_coordination.network import PeerNetwork
-from plantainshed_coordination.operations import OperationBook
+from plantainshed_coordination.operations import OperationRegistry
 from plantainshed_coordination.peer_pb2 import MemberRecord
 from plantainshed_coordination.rebalancer import Rebalancer
 from plantainshed_coordination.rumors import RumorBook
@@ -87,7 +87,7 @@
         self.reporter = DemandReporter(
             self.network, self.membership, self.holdings, self.rebalancers
         )
-        self.operations = OperationBook(self.network, self.membership)
+        self.operations = OperationRegistry(self.network, self.membership)
         self.targets = TargetTable(self.holdings, order)
         self.loads = LoadBoard(settings.failure_domain)
         self.steering = Steering(self.membership, self.targets, self.loads)
@@ -132,9 +132,9 @@
 
     def _join_parts(self):
         self.holdings.choose_from_group = self.routing.choose_to_lend
-        self.membership.extra_of_heartbeat = self._news_for_domain
+        self.membership.make_heartbeat_extra = self._news_for_domain
         self.membership.on_heartbeat_extra = self._take_domain_news
-        self.membership.extra_of_summary = self._load_for_domains
+        self.membership.make_summary_extra = self._load_for_domains
         self.membership.on_summary_extra = self._take_domain_load
         self.rumors.listeners[KEY_WITHDRAWN_TOPIC] = self._on_key_withdrawn
 
@@ -224,7 +224,7 @@
 
     def withdraw_key(self, key_id: str):
         """Stop a key here and begin to stop it everywhere."""
-        self.rumors.begin(KEY_WITHDRAWN_TOPIC, key_id)
+        self.rumors.publish(KEY_WITHDRAWN_TOPIC, key_id)
 
     def _on_key_withdrawn(self, key_id: str, rumor):
         cut = self.serving.cancel_key(key_id)
@@ -290,7 +290,7 @@
         await self.reporter.report_all()
         for rebalancer in self.rebalancers.values():
             with contextlib.suppress(PlatformError):
-                await rebalancer.lease.give_back()
+                await rebalancer.lease.release()
         await self.membership.announce_leaving()
 
 
