--- a/packages/gateway/plantainshed_gateway/registry.py
+++ b/packages/gateway/plantainshed_gateway/registry.py
@@ -161,7 +161,7 @@
         self.ramps_until = float("-inf")
         self._lapse_ends_at = inf
 
-    def take_entries(
+    def update_entries(
         self,
         entries: list[TargetEntry],
         may_have_lapsed: bool,
--- a/packages/gateway/plantainshed_gateway/state_taker.py
+++ b/packages/gateway/plantainshed_gateway/state_taker.py
@@ -125,10 +125,10 @@
         before = {name: s.entry for name, s in self.registry.states.items()}
         has_lost_store = not follower.is_in_touch and not follower.is_resting
         if not has_lost_store or self._was_paused():
-            self.registry.take_entries(entries, self._is_just_back(follower))
+            self.registry.update_entries(entries, self._is_just_back(follower))
         else:
             # A peer told it, and may have done so just after an outage for all.
-            self.registry.take_entries(entries, True, told_after_s=PEER_GRACE_S)
+            self.registry.update_entries(entries, True, told_after_s=PEER_GRACE_S)
         self._log_targets(before, follower.replica.revision)
 
     def _is_just_back(self, follower: Follower) -> bool:
