--- a/packages/gateway/plantainshed_gateway/registry.py
+++ b/packages/gateway/plantainshed_gateway/registry.py
@@ -237,7 +237,7 @@
         if gone:
             self._group()
 
-    def take_configuration(self, configuration: Configuration):
+    def update_configuration(self, configuration: Configuration):
         """Take over the pools of a new configuration."""
         self.configuration = configuration
         self._group()
--- a/packages/gateway/plantainshed_gateway/state_taker.py
+++ b/packages/gateway/plantainshed_gateway/state_taker.py
@@ -104,7 +104,7 @@
         self.admission.configuration = configuration
         routes = [r for by in configuration.routes.values() for r in by.values()]
         self.admission.splitter.keep({(r.name, r.pools) for r in routes})
-        self.registry.take_configuration(configuration)
+        self.registry.update_configuration(configuration)
         self.admission.quotas.workspaces = {
             workspace.name: workspace
             for workspace in configuration.workspace_by_key.values()
--- a/packages/measure/plantainshed_measure/placing_model.py
+++ b/packages/measure/plantainshed_measure/placing_model.py
@@ -175,7 +175,7 @@
         self.fleet = fleet
         self.region = region
         self.registry = Registry({region: region for region in world.regions})
-        self.registry.take_configuration(fleet.configuration)
+        self.registry.update_configuration(fleet.configuration)
         self.registry.update_entries(fleet.entries, may_have_lapsed=False)
         log = DecisionLog(name, region, io.StringIO())
         self.round_trips = RoundTrips(self.registry.region_of, log)
--- a/tests/gateway/test_connections.py
+++ b/tests/gateway/test_connections.py
@@ -45,7 +45,7 @@
     def __init__(self, count: int):
         self.opened = 0
         self.registry = Registry({"mil-a": "lombardia"})
-        self.registry.take_configuration(make_configuration(make_route()))
+        self.registry.update_configuration(make_configuration(make_route()))
         entries = [make_entry(f"i-{n}") for n in range(count)]
         self.registry.update_entries(entries, may_have_lapsed=False)
         self.states = list(self.registry.states.values())
--- a/tests/gateway/test_placement.py
+++ b/tests/gateway/test_placement.py
@@ -29,7 +29,7 @@
 
 def make_registry(count=10, **more) -> Registry:
     registry = Registry(REGION_OF)
-    registry.take_configuration(CONFIGURATION)
+    registry.update_configuration(CONFIGURATION)
     entries = [
         make_entry(f"i-{n}", failure_domain="mil-a" if n % 2 else "ven-a", **more)
         for n in range(count)
