--- a/packages/gateway/plantainshed_gateway/registry.py
+++ b/packages/gateway/plantainshed_gateway/registry.py
@@ -242,7 +242,7 @@
         self.configuration = configuration
         self._group()
 
-    def take_evacuated(self, failure_domains: frozenset[str]):
+    def update_evacuated(self, failure_domains: frozenset[str]):
         """Take over which failure domains get nothing.
 
         The targets of one that is taken back can have lost their caches and
--- a/packages/gateway/plantainshed_gateway/state_taker.py
+++ b/packages/gateway/plantainshed_gateway/state_taker.py
@@ -167,4 +167,4 @@
                 before=sorted(self.registry.evacuated),
                 revision=self.followers[Collection.EVACUATIONS].replica.revision,
             )
-        self.registry.take_evacuated(frozenset(domains))
+        self.registry.update_evacuated(frozenset(domains))
--- a/tests/gateway/test_placement.py
+++ b/tests/gateway/test_placement.py
@@ -263,9 +263,9 @@
     @on_mock_clock
     async def test_domain_that_is_taken_back_is_cold(self):
         registry = make_registry()
-        registry.take_evacuated(frozenset({"mil-a"}))
+        registry.update_evacuated(frozenset({"mil-a"}))
         self.assertEqual(len(registry.usable("calendario", frozenset())), 5)
-        registry.take_evacuated(frozenset())
+        registry.update_evacuated(frozenset())
         states = registry.usable("calendario", frozenset())
         cold = {s.entry.failure_domain for s in states if s.is_cold}
         self.assertEqual(cold, {"mil-a"})
