--- a/packages/gateway/plantainshed_gateway/registry.py
+++ b/packages/gateway/plantainshed_gateway/registry.py
@@ -13,7 +13,7 @@
 # How long an entry that lapsed with many others still names a target. After an
 # outage of the store entries are written again within 2 s if the target lives;
 # a target that did leave serves on for as long.
-LAPSE_GRACE_S = 1.8
+EXPIRY_GRACE_S = 1.8
 # Entries of a pool, as a part and a number, that must vanish together without
 # having said that they leave, to count as lapsed. Targets are replaced and
 # crash one or a few at a time.
@@ -79,7 +79,7 @@
     @property
     def lapse_ends_at(self) -> float:
         """When it gets nothing more, if its entry does not come back."""
-        return inf if self.lapsed_at is None else self.lapsed_at + LAPSE_GRACE_S
+        return inf if self.lapsed_at is None else self.lapsed_at + EXPIRY_GRACE_S
 
     @property
     def is_out(self) -> bool:
--- a/tests/gateway/test_placement.py
+++ b/tests/gateway/test_placement.py
@@ -9,7 +9,7 @@
 from plantainshed_gateway.placement import Placement
 from plantainshed_gateway.ports import TargetLoad
 from plantainshed_gateway.queueing import QueueLimits
-from plantainshed_gateway.registry import LAPSE_GRACE_S, Registry
+from plantainshed_gateway.registry import EXPIRY_GRACE_S, Registry
 from plantainshed_gateway.splitting import Splitter
 from tests.gateway.gateway_support import (
     BOUNDS,
@@ -238,7 +238,7 @@
         rest = entries_of(registry)[1:]
         registry.update_entries(rest, may_have_lapsed=True)
         calls = [make_call(ROUTE, str(n)) for n in range(200)]
-        await trio.sleep(LAPSE_GRACE_S)
+        await trio.sleep(EXPIRY_GRACE_S)
         self.assertEqual(len(registry.usable("calendario", frozenset())), 9)
         chosen = {
             placement.choose(call, CONFIGURATION, set(), VMS).entry.instance
