--- a/packages/gateway/plantainshed_gateway/gateway.py
+++ b/packages/gateway/plantainshed_gateway/gateway.py
@@ -291,7 +291,7 @@
             if paused_s:
                 await self._catch_up_after(paused_s)
             self.quotas.divide()
-            self.registry.drop_lapsed()
+            self.registry.drop_expired()
             self.connections.close_idle(set(self.registry.states))
             self.survey.measure_unknown(self._nursery)
             self._measure()
--- a/packages/gateway/plantainshed_gateway/registry.py
+++ b/packages/gateway/plantainshed_gateway/registry.py
@@ -225,7 +225,7 @@
         state.ramp_from = trio.current_time()
         self.ramps_until = state.ramp_from + RAMP_S
 
-    def drop_lapsed(self):
+    def drop_expired(self):
         """Forget targets whose entry did not come back after an outage."""
         gone = [
             instance
@@ -273,7 +273,7 @@
     def assigned(self, pool: str, home_regions: frozenset[str]) -> list[TargetState]:
         """Return the targets of a pool that may get new work, sound or not."""
         if trio.current_time() >= self._lapse_ends_at:
-            self.drop_lapsed()
+            self.drop_expired()
         states = self._by_pool.get(pool, [])
         if not home_regions:
             return states
--- a/tests/gateway/test_placement.py
+++ b/tests/gateway/test_placement.py
@@ -227,7 +227,7 @@
         registry.update_entries(rest, may_have_lapsed=False)
         self.assertEqual(len(registry.usable("calendario", frozenset())), 10)
         await trio.sleep(1.9)
-        registry.drop_lapsed()
+        registry.drop_expired()
         self.assertEqual(len(registry.usable("calendario", frozenset())), 2)
 
     @on_mock_clock
