--- a/packages/gateway/plantainshed_gateway/registry.py
+++ b/packages/gateway/plantainshed_gateway/registry.py
@@ -164,7 +164,7 @@
     def update_entries(
         self,
         entries: list[TargetEntry],
-        may_have_lapsed: bool,
+        may_have_expired: bool,
         told_after_s: float = 0.0,
     ):
         """Take over the registered targets.
@@ -172,7 +172,7 @@
         Parameters
         ----------
         entries : list of TargetEntry
-        may_have_lapsed : bool
+        may_have_expired : bool
             Whether the store has just come back from an outage. Entries that
             ran out meanwhile are then missing though their targets live, and
             dropping them at once would leave pools empty for two seconds.
@@ -190,7 +190,7 @@
             if instance not in named and not state.entry.is_leaving
         ]
         for state in vanished:
-            if may_have_lapsed or state.lapsed_at or self._are_many(state, vanished):
+            if may_have_expired or state.lapsed_at or self._are_many(state, vanished):
                 heard_at = trio.current_time() - told_after_s
                 state.lapsed_at = state.lapsed_at or heard_at
                 states[state.entry.instance] = state
--- a/packages/measure/plantainshed_measure/placing_model.py
+++ b/packages/measure/plantainshed_measure/placing_model.py
@@ -176,7 +176,7 @@
         self.region = region
         self.registry = Registry({region: region for region in world.regions})
         self.registry.update_configuration(fleet.configuration)
-        self.registry.update_entries(fleet.entries, may_have_lapsed=False)
+        self.registry.update_entries(fleet.entries, may_have_expired=False)
         log = DecisionLog(name, region, io.StringIO())
         self.round_trips = RoundTrips(self.registry.region_of, log)
         for other in world.regions:
--- a/tests/gateway/test_connections.py
+++ b/tests/gateway/test_connections.py
@@ -47,7 +47,7 @@
         self.registry = Registry({"mil-a": "lombardia"})
         self.registry.update_configuration(make_configuration(make_route()))
         entries = [make_entry(f"i-{n}") for n in range(count)]
-        self.registry.update_entries(entries, may_have_lapsed=False)
+        self.registry.update_entries(entries, may_have_expired=False)
         self.states = list(self.registry.states.values())
         self.round_trips = make_round_trips()
         self.connections = TargetConnections(self.round_trips, self.connect)
--- a/tests/gateway/test_placement.py
+++ b/tests/gateway/test_placement.py
@@ -34,7 +34,7 @@
         make_entry(f"i-{n}", failure_domain="mil-a" if n % 2 else "ven-a", **more)
         for n in range(count)
     ]
-    registry.update_entries(entries, may_have_lapsed=False)
+    registry.update_entries(entries, may_have_expired=False)
     return registry
 
 
@@ -76,7 +76,7 @@
         registry = make_registry()
         before = owners(registry)
         rest = [e for e in entries_of(registry) if e.instance != "i-3"]
-        registry.update_entries(rest, may_have_lapsed=False)
+        registry.update_entries(rest, may_have_expired=False)
         after = owners(registry)
         moved = {name for name in before if before[name] != after[name]}
         self.assertEqual(moved, {n for n in before if before[n] == "i-3"})
@@ -91,7 +91,7 @@
         registry = make_registry()
         known = {n: owners(registry)[n] for n in owners(registry)}
         joined = [make_entry(f"j-{n}", failure_domain="ven-a") for n in range(4)]
-        registry.update_entries(entries_of(registry) + joined, may_have_lapsed=False)
+        registry.update_entries(entries_of(registry) + joined, may_have_expired=False)
         moved_by_step = []
         for _ in range(7):
             await trio.sleep(2)
@@ -224,7 +224,7 @@
         """
         registry = make_registry()
         rest = entries_of(registry)[:2]
-        registry.update_entries(rest, may_have_lapsed=False)
+        registry.update_entries(rest, may_have_expired=False)
         self.assertEqual(len(registry.usable("calendario", frozenset())), 10)
         await trio.sleep(1.9)
         registry.drop_expired()
@@ -236,7 +236,7 @@
         registry = make_registry()
         placement = make_placement(registry)
         rest = entries_of(registry)[1:]
-        registry.update_entries(rest, may_have_lapsed=True)
+        registry.update_entries(rest, may_have_expired=True)
         calls = [make_call(ROUTE, str(n)) for n in range(200)]
         await trio.sleep(EXPIRY_GRACE_S)
         self.assertEqual(len(registry.usable("calendario", frozenset())), 9)
@@ -250,14 +250,14 @@
     async def test_single_entry_that_goes_is_gone(self):
         registry = make_registry()
         rest = entries_of(registry)[1:]
-        registry.update_entries(rest, may_have_lapsed=False)
+        registry.update_entries(rest, may_have_expired=False)
         self.assertEqual(len(registry.usable("calendario", frozenset())), 9)
 
     @on_mock_clock
     async def test_target_that_started_again_is_cold(self):
         registry = make_registry()
         entries = [make_entry("i-0", started_ms=2), *entries_of(registry)[1:]]
-        registry.update_entries(entries, may_have_lapsed=False)
+        registry.update_entries(entries, may_have_expired=False)
         self.assertTrue(registry.states["i-0"].is_cold)
 
     @on_mock_clock
