--- a/packages/gateway/plantainshed_gateway/registry.py
+++ b/packages/gateway/plantainshed_gateway/registry.py
@@ -69,7 +69,7 @@
     failures: int = 0
     ejections: int = 0
     out_until: float = 0.0
-    lapsed_at: float | None = None
+    expired_at: float | None = None
 
     @property
     def is_cold(self) -> bool:
@@ -79,7 +79,7 @@
     @property
     def lapse_ends_at(self) -> float:
         """When it gets nothing more, if its entry does not come back."""
-        return inf if self.lapsed_at is None else self.lapsed_at + EXPIRY_GRACE_S
+        return inf if self.expired_at is None else self.expired_at + EXPIRY_GRACE_S
 
     @property
     def is_out(self) -> bool:
@@ -190,9 +190,9 @@
             if instance not in named and not state.entry.is_leaving
         ]
         for state in vanished:
-            if may_have_expired or state.lapsed_at or self._are_many(state, vanished):
+            if may_have_expired or state.expired_at or self._are_many(state, vanished):
                 heard_at = trio.current_time() - told_after_s
-                state.lapsed_at = state.lapsed_at or heard_at
+                state.expired_at = state.expired_at or heard_at
                 states[state.entry.instance] = state
         self.states = states
         self._is_first = False
@@ -209,7 +209,7 @@
         if state is None or _is_new_run(state.entry, entry):
             state = self._new_state(entry)
         state.entry = entry
-        state.lapsed_at = None
+        state.expired_at = None
         state.note_cold(entry.cold_for_s)
         return state
 
--- a/tests/platform/test_whole_path.py
+++ b/tests/platform/test_whole_path.py
@@ -452,7 +452,7 @@
             await path.until(
                 lambda: (
                     path.gateway.registry.states.get("i-0") is None
-                    or path.gateway.registry.states["i-0"].lapsed_at is not None
+                    or path.gateway.registry.states["i-0"].expired_at is not None
                 )
             )
 
