--- a/packages/gateway/plantainshed_gateway/cold.py
+++ b/packages/gateway/plantainshed_gateway/cold.py
@@ -9,7 +9,7 @@
 from attrs import define, field
 
 from .model import Pool
-from .registry import TargetState, cold_admitters
+from .registry import TargetState, vms_for_cold_target
 from .settings import Bounds
 
 # Used part of the tolerance above a cold target's rate: VMs can disagree for
@@ -57,7 +57,7 @@
             return True
         tolerance = pool.warmup_per_s * (self.bounds.cold_over - 1.0)
         most = int(USED_PART * (tolerance + self.bounds.cold_slack))
-        admitters = cold_admitters(instance, vms, most)
+        admitters = vms_for_cold_target(instance, vms, most)
         if self.vm not in admitters:
             return False
         rate = pool.warmup_per_s / len(admitters)
--- a/packages/gateway/plantainshed_gateway/registry.py
+++ b/packages/gateway/plantainshed_gateway/registry.py
@@ -296,7 +296,7 @@
         return sound
 
 
-def cold_admitters(instance: str, vms: list[str], most: int) -> list[str]:
+def vms_for_cold_target(instance: str, vms: list[str], most: int) -> list[str]:
     """Return the VMs that may send to a cold target, the same on all of them.
 
     Its bound holds for all VMs together. Were each VM to use an even part, a
