--- a/packages/gateway/plantainshed_gateway/placement.py
+++ b/packages/gateway/plantainshed_gateway/placement.py
@@ -234,7 +234,7 @@
 
 def _first_owners(order: tuple | list, count: int) -> _Choice:
     """Return the first sound targets, and cold ones in front of the last of them."""
-    sound = [state for state in order if not state.is_out]
+    sound = [state for state in order if not state.is_ejected]
     owners = [state for state in sound if not state.is_cold][:count]
     last = sound.index(owners[-1]) if len(owners) == count else len(sound)
     cold = [state for state in sound[:last] if state.is_cold]
--- a/packages/gateway/plantainshed_gateway/registry.py
+++ b/packages/gateway/plantainshed_gateway/registry.py
@@ -82,7 +82,7 @@
         return inf if self.expired_at is None else self.expired_at + EXPIRY_GRACE_S
 
     @property
-    def is_out(self) -> bool:
+    def is_ejected(self) -> bool:
         """Whether it gets nothing for a while."""
         return self.out_until > trio.current_time()
 
@@ -290,7 +290,7 @@
         of it is used.
         """
         assigned = self.assigned(pool, home_regions)
-        sound = [state for state in assigned if not state.is_out]
+        sound = [state for state in assigned if not state.is_ejected]
         if len(sound) < len(assigned) * MOST_EJECTED:
             return assigned
         return sound
--- a/packages/gateway/plantainshed_gateway/survey.py
+++ b/packages/gateway/plantainshed_gateway/survey.py
@@ -49,7 +49,7 @@
         }
         for state in self.registry.states.values() if unknown else ():
             domain = state.entry.failure_domain
-            if domain not in unknown or state.is_out:
+            if domain not in unknown or state.is_ejected:
                 continue
             if now - self._measured_at.get(domain, -PAUSE_S) < PAUSE_S:
                 continue
