--- a/packages/gateway/plantainshed_gateway/context.py
+++ b/packages/gateway/plantainshed_gateway/context.py
@@ -4,7 +4,7 @@
 
 from .logs import DecisionLog
 from .metrics import Metrics
-from .ports import Surroundings
+from .ports import PlatformAdapter
 from .settings import Settings
 
 
@@ -15,7 +15,7 @@
     Parameters
     ----------
     settings : Settings
-    surroundings : Surroundings
+    surroundings : PlatformAdapter
         The platform's wire formats and store.
     log : DecisionLog
     incarnation : int
@@ -23,7 +23,7 @@
     """
 
     settings: Settings
-    surroundings: Surroundings
+    surroundings: PlatformAdapter
     log: DecisionLog
     incarnation: int
     metrics: Metrics = field(factory=Metrics)
--- a/packages/gateway/plantainshed_gateway/daemon.py
+++ b/packages/gateway/plantainshed_gateway/daemon.py
@@ -23,7 +23,7 @@
 from .gateway import Gateway
 from .logs import DecisionLog
 from .peers import StateHandler
-from .ports import Surroundings
+from .ports import PlatformAdapter
 from .settings import Settings, load_settings
 
 BACKLOG = 1024
@@ -36,7 +36,7 @@
 WATCH_SETTINGS_S = 1.0
 METRICS_PATH = "/metrics"
 
-MakeSurroundings = Callable[[Settings], Surroundings]
+MakeSurroundings = Callable[[Settings], PlatformAdapter]
 
 
 async def run_daemon(settings_path: str, make_surroundings: MakeSurroundings):
--- a/packages/gateway/plantainshed_gateway/ports.py
+++ b/packages/gateway/plantainshed_gateway/ports.py
@@ -241,7 +241,7 @@
 
 
 @define
-class Surroundings:
+class PlatformAdapter:
     """Everything that an adapter hands to the gateway."""
 
     wire: Wire
--- a/tests/platform/platform_support.py
+++ b/tests/platform/platform_support.py
@@ -12,7 +12,7 @@
 from plantainshed_gateway.gateway import Gateway
 from plantainshed_gateway.heartbeats import VmState
 from plantainshed_gateway.logs import DecisionLog
-from plantainshed_gateway.ports import Surroundings
+from plantainshed_gateway.ports import PlatformAdapter
 from plantainshed_gateway.settings import Addresses, Settings
 from plantainshed_http.client import connected
 from plantainshed_http.server import Stopping, serve_http
@@ -191,7 +191,7 @@
     settings = make_settings(store_address, callers=address)
     stream = io.StringIO()
     log = DecisionLog(settings.vm, settings.failure_domain, stream)
-    surroundings = Surroundings(
+    surroundings = PlatformAdapter(
         PlatformWire(), PlatformDecoder(), ObjectStore(store_address)
     )
     gateway = Gateway(Context(settings, surroundings, log, 1))
--- a/tests/platform/test_fleet.py
+++ b/tests/platform/test_fleet.py
@@ -11,7 +11,7 @@
 from plantainshed_gateway.heartbeats import VmState
 from plantainshed_gateway.logs import DecisionLog
 from plantainshed_gateway.peers import StateHandler
-from plantainshed_gateway.ports import Collection, Lookup, Surroundings
+from plantainshed_gateway.ports import Collection, Lookup, PlatformAdapter
 from plantainshed_gateway.settings import Addresses, Settings
 from plantainshed_http.server import Stopping, serve_http
 from plantainshed_platform.decoding import PlatformDecoder
@@ -118,7 +118,7 @@
             settings = make_settings(number, address, datagram_port, f"{ip}:{port}")
             log = DecisionLog(settings.vm, settings.failure_domain, io.StringIO())
             stack.enter_context(log.writing())
-            surroundings = Surroundings(
+            surroundings = PlatformAdapter(
                 PlatformWire(), PlatformDecoder(), ObjectStore(address)
             )
             gateway = Gateway(Context(settings, surroundings, log, 1))
