--- a/packages/gateway/plantainshed_gateway/gateway.py
+++ b/packages/gateway/plantainshed_gateway/gateway.py
@@ -248,7 +248,7 @@
                     await self._register()
                     is_registered = True
                 snapshot = await self.context.surroundings.store.list(
-                    Collection.VMS, may_be_old=True
+                    Collection.VMS, allow_stale=True
                 )
                 is_first = not self.members.is_listed
                 self.members.is_listed = True
--- a/packages/gateway/plantainshed_gateway/ports.py
+++ b/packages/gateway/plantainshed_gateway/ports.py
@@ -222,7 +222,7 @@
     Calls raise `StoreUnavailable`, `HistoryGone` (watch), or `ItemExists`.
     """
 
-    async def list(self, collection: Collection, may_be_old: bool = False) -> Snapshot:
+    async def list(self, collection: Collection, allow_stale: bool = False) -> Snapshot:
         """Return all objects of a collection; old by seconds if that may be."""
 
     async def watch(
--- a/tests/platform/test_escapes_of_the_store.py
+++ b/tests/platform/test_escapes_of_the_store.py
@@ -37,4 +37,4 @@
 
         async with serving(answer) as (address, _):
             with self.assertRaises(StoreUnavailable):
-                await ObjectStore(address).list(Collection.VMS, may_be_old=True)
+                await ObjectStore(address).list(Collection.VMS, allow_stale=True)
