--- a/packages/gateway/plantainshed_gateway/forwarding.py
+++ b/packages/gateway/plantainshed_gateway/forwarding.py
@@ -13,7 +13,7 @@
 from .connections import TargetConnections
 from .errors import AttemptFailed
 from .metrics import Metrics
-from .ports import Outgoing, TargetAnswer, Wire
+from .ports import TargetAnswer, TargetRequestInfo, Wire
 from .reasons import Reason
 from .registry import TargetState
 
@@ -91,7 +91,7 @@
             ) from error
 
     async def _send(self, call: Call, state: TargetState, connection: ClientConnection):
-        outgoing = Outgoing(
+        outgoing = TargetRequestInfo(
             instance=state.entry.instance,
             deadline_s=max(0.001, call.wait_until - trio.current_time()),
             workspace=call.workspace_name,
--- a/packages/gateway/plantainshed_gateway/ports.py
+++ b/packages/gateway/plantainshed_gateway/ports.py
@@ -158,7 +158,7 @@
 
 
 @define
-class Outgoing:
+class TargetRequestInfo:
     """What the gateway tells a target beside the caller's own headers."""
 
     instance: str
@@ -172,7 +172,7 @@
     def read_request(self, head: RequestHead) -> CallerRequest:
         """Decode a request, or raise `BadRequest` naming the header."""
 
-    def target_headers(self, head: RequestHead, outgoing: Outgoing) -> Headers:
+    def target_headers(self, head: RequestHead, outgoing: TargetRequestInfo) -> Headers:
         """Return the headers to send to a target."""
 
     def read_answer(self, head: ResponseHead) -> TargetAnswer:
