--- a/packages/gateway/plantainshed_gateway/daemon.py
+++ b/packages/gateway/plantainshed_gateway/daemon.py
@@ -146,7 +146,7 @@
         began_at = trio.current_time()
         self.stopping.is_announced = True
         await self.gateway.announce_leaving()
-        accept_until = began_at + accept_s(within_s)
+        accept_until = began_at + accept_period_s(within_s)
         self.gateway.serving.takes_until = accept_until + STOP_GRACE_S
         self._log_stopping("leaving announced", within_s=within_s)
         await trio.sleep_until(accept_until)
@@ -186,7 +186,7 @@
         )
 
 
-def accept_s(within_s: float) -> float:
+def accept_period_s(within_s: float) -> float:
     """Return how long a daemon that stops still takes new connections.
 
     Kept ones may begin a request for a moment longer. Were that moment not taken
--- a/tests/platform/test_daemon.py
+++ b/tests/platform/test_daemon.py
@@ -12,7 +12,7 @@
 import orjson
 import trio
 
-from plantainshed_gateway.daemon import accept_s
+from plantainshed_gateway.daemon import accept_period_s
 from plantainshed_http.errors import HttpError
 from plantainshed_http.server import STOP_GRACE_S
 from tests.platform.daemon_support import IP, filled_template, free_ports
@@ -129,9 +129,9 @@
         request came on top of the half in which new ones are taken.
         """
         for within_s in (0.5, 2.0, 6.0, 30.0):
-            last_s = accept_s(within_s) + STOP_GRACE_S
+            last_s = accept_period_s(within_s) + STOP_GRACE_S
             self.assertLessEqual(last_s, max(STOP_GRACE_S, within_s / 2))
-        self.assertGreater(accept_s(6.0), 2.0)
+        self.assertGreater(accept_period_s(6.0), 2.0)
 
 
 class TestStop(unittest.TestCase):
