--- a/packages/gateway/plantainshed_gateway/gateway.py
+++ b/packages/gateway/plantainshed_gateway/gateway.py
@@ -35,7 +35,7 @@
 from .settings import Settings
 from .speakers import Speakers
 from .state_taker import StateTaker
-from .survey import Survey
+from .survey import DistanceProber
 
 FOLLOWED = (Collection.CONFIGURATION, Collection.TARGETS, Collection.EVACUATIONS)
 UPKEEP_S = 0.25
@@ -99,7 +99,7 @@
             self.round_trips,
         )
         self.forwarder = Forwarder(surroundings.wire, self.connections, context.metrics)
-        self.survey = Survey(
+        self.survey = DistanceProber(
             self.registry, self.connections, self.round_trips, context.log
         )
         self.serving = Serving(
--- a/packages/gateway/plantainshed_gateway/survey.py
+++ b/packages/gateway/plantainshed_gateway/survey.py
@@ -13,7 +13,7 @@
 PAUSE_S = 1.0
 
 
-class Survey:
+class DistanceProber:
     """Opens one connection to each failure domain of unknown distance.
 
     Placing and waits for other VMs depend on distances from the first request on.
--- a/tests/gateway/test_connections.py
+++ b/tests/gateway/test_connections.py
@@ -6,7 +6,7 @@
 from plantainshed_gateway.connections import TargetConnections
 from plantainshed_gateway.logs import DecisionLog
 from plantainshed_gateway.registry import Registry
-from plantainshed_gateway.survey import Survey
+from plantainshed_gateway.survey import DistanceProber
 from plantainshed_http.errors import ConnectFailed
 from plantainshed_http.messages import ResponseHead
 from tests.gateway.gateway_support import (
@@ -112,7 +112,9 @@
 class TestSurvey(unittest.TestCase):
     async def play_five_seconds(self, targets: Targets):
         log = DecisionLog("vm-0", "mil-a", io.StringIO())
-        survey = Survey(targets.registry, targets.connections, targets.round_trips, log)
+        survey = DistanceProber(
+            targets.registry, targets.connections, targets.round_trips, log
+        )
         async with trio.open_nursery() as nursery:
             for _ in range(20):
                 survey.measure_unknown(nursery)
