--- a/packages/gateway/plantainshed_gateway/freshness.py
+++ b/packages/gateway/plantainshed_gateway/freshness.py
@@ -90,7 +90,7 @@
         # sent into its silence are sent again then.
         copies = [follower.replica for follower in self.followers.values()]
         is_wanted = self.is_lost or self.is_on_duty()
-        return is_wanted and all(copy.is_known for copy in copies)
+        return is_wanted and all(copy.is_initialized for copy in copies)
 
     def _pause_s(self, began_at: float, interval_s: float) -> float:
         if not self.is_lost:
--- a/packages/gateway/plantainshed_gateway/gateway.py
+++ b/packages/gateway/plantainshed_gateway/gateway.py
@@ -194,7 +194,7 @@
             return
         if self.admission.configuration is None:
             return
-        if all(replica.is_known for replica in self.replicas.values()):
+        if all(replica.is_initialized for replica in self.replicas.values()):
             self.state = VmState.READY
             self.serving.is_ready.set()
             if self._nursery is not None:
@@ -305,7 +305,7 @@
         for collection, replica in self.replicas.items():
             labels = {"collection": collection.value}
             metrics.copy_revision.set(labels, replica.revision)
-            if replica.is_known:
+            if replica.is_initialized:
                 metrics.copy_age.set(labels, trio.current_time() - replica.heard_at)
 
     async def _catch_up_after(self, paused_s: float):
--- a/packages/gateway/plantainshed_gateway/peers.py
+++ b/packages/gateway/plantainshed_gateway/peers.py
@@ -224,7 +224,7 @@
         """Answer one request for a collection."""
         path, _, query = exchange.request.target.partition("?")
         replica = self.replicas.get(path.removeprefix(STATE_PATH))
-        if replica is None or not replica.is_known:
+        if replica is None or not replica.is_initialized:
             await exchange.reply(404, [], b"no such state here\n")
             return
         after = REVISION.fullmatch(query)
--- a/packages/gateway/plantainshed_gateway/replication.py
+++ b/packages/gateway/plantainshed_gateway/replication.py
@@ -85,7 +85,7 @@
     )
 
     @property
-    def is_known(self) -> bool:
+    def is_initialized(self) -> bool:
         """Whether any state has ever been taken."""
         return self.revision > 0
 
@@ -96,7 +96,7 @@
         if snapshot.revision < self.revision:
             return False
         items = {item.name: item for item in snapshot.items}
-        changed = items != self.items or not self.is_known
+        changed = items != self.items or not self.is_initialized
         if set(self.items) - set(items):
             # A deletion has no revision of its own that a list would show.
             self.changed_at_revision = snapshot.revision
--- a/tests/gateway/test_copies_under_faults.py
+++ b/tests/gateway/test_copies_under_faults.py
@@ -198,6 +198,6 @@
         while True:
             await trio.sleep(LOOK_S)
             for replica in trial.replicas():
-                if replica.is_known:
+                if replica.is_initialized:
                     expected = trial.store.items(replica.collection, replica.revision)
                     self.assertEqual(replica.items, expected, seed)
