--- a/packages/gateway/plantainshed_gateway/registry.py
+++ b/packages/gateway/plantainshed_gateway/registry.py
@@ -270,7 +270,7 @@
                 continue
             self._by_pool.setdefault(entry.pool, []).append(state)
 
-    def assigned(self, pool: str, home_regions: frozenset[str]) -> list[TargetState]:
+    def eligible(self, pool: str, home_regions: frozenset[str]) -> list[TargetState]:
         """Return the targets of a pool that may get new work, sound or not."""
         if trio.current_time() >= self._lapse_ends_at:
             self.drop_expired()
@@ -289,10 +289,10 @@
         A false alarm must not empty a pool: when over half of it is out, all
         of it is used.
         """
-        assigned = self.assigned(pool, home_regions)
-        sound = [state for state in assigned if not state.is_ejected]
-        if len(sound) < len(assigned) * MOST_EJECTED:
-            return assigned
+        eligible = self.eligible(pool, home_regions)
+        sound = [state for state in eligible if not state.is_ejected]
+        if len(sound) < len(eligible) * MOST_EJECTED:
+            return eligible
         return sound
 
 
--- a/tests/platform/test_whole_path.py
+++ b/tests/platform/test_whole_path.py
@@ -414,7 +414,7 @@
             )
             await path.until(
                 lambda: (
-                    len(path.gateway.registry.assigned("calendario", frozenset())) == 1
+                    len(path.gateway.registry.eligible("calendario", frozenset())) == 1
                 )
             )
             for number in range(6):
