--- a/packages/gateway/plantainshed_gateway/replication.py
+++ b/packages/gateway/plantainshed_gateway/replication.py
@@ -182,7 +182,7 @@
         self.listener = listener
         self.log = log
         self.replica = Replica(collection)
-        self.is_in_touch = False
+        self.is_connected = False
         self.lost_at: float | None = None
         self.regained_at = float("-inf")
         self._retry_s = FIRST_RETRY_S
@@ -286,9 +286,9 @@
 
     def note_regained(self):
         """Note that the store answers this VM."""
-        if self.is_in_touch:
+        if self.is_connected:
             return
-        self.is_in_touch = True
+        self.is_connected = True
         if self.lost_at is not None:
             self.regained_at = trio.current_time()
         self.log.event(
@@ -309,7 +309,7 @@
                 revision=self.replica.revision,
                 problem=problem,
             )
-        self.is_in_touch = False
+        self.is_connected = False
 
     def _lost_for_s(self) -> float:
         if self.lost_at is None:
--- a/packages/gateway/plantainshed_gateway/state_taker.py
+++ b/packages/gateway/plantainshed_gateway/state_taker.py
@@ -123,7 +123,7 @@
         follower = self.followers[Collection.TARGETS]
         entries = self._decoded(Collection.TARGETS, self.decoder.target)
         before = {name: s.entry for name, s in self.registry.states.items()}
-        has_lost_store = not follower.is_in_touch and not follower.is_resting
+        has_lost_store = not follower.is_connected and not follower.is_resting
         if not has_lost_store or self._was_paused():
             self.registry.update_entries(entries, self._is_just_back(follower))
         else:
--- a/tests/gateway/test_freshness.py
+++ b/tests/gateway/test_freshness.py
@@ -276,10 +276,10 @@
         async with running_vm() as vm:
             vm.store.is_silent = True
             await trio.sleep(INTERVAL_S + CALL_TIMEOUT_S + 0.1)
-            self.assertFalse(vm.followers[Collection.CONFIGURATION].is_in_touch)
+            self.assertFalse(vm.followers[Collection.CONFIGURATION].is_connected)
             vm.store.is_silent = False
             await trio.sleep(CALL_TIMEOUT_S + 0.5)
-            self.assertTrue(vm.followers[Collection.CONFIGURATION].is_in_touch)
+            self.assertTrue(vm.followers[Collection.CONFIGURATION].is_connected)
 
     @on_mock_clock
     async def test_polls_that_are_turned_away_become_rarer(self):
@@ -320,7 +320,7 @@
             await trio.sleep(2)
             vm.store.is_silent = False
             await trio.sleep(CALL_TIMEOUT_S + 0.5)
-            self.assertTrue(vm.followers[Collection.TARGETS].is_in_touch)
+            self.assertTrue(vm.followers[Collection.TARGETS].is_connected)
             vm.store.put(Collection.TARGETS, "second")
             seconds = await vm.seconds_until(Collection.TARGETS, "second")
             self.assertLess(seconds, 3 * ANSWER_S)
--- a/tests/platform/test_fleet.py
+++ b/tests/platform/test_fleet.py
@@ -164,7 +164,7 @@
             for door in fleet.doors:
                 door.close()
             started = fleet.gateways[1]
-            await fleet.until(lambda: not started.followers["targets"].is_in_touch)
+            await fleet.until(lambda: not started.followers["targets"].is_connected)
             for follower in started.followers.values():
                 follower.replica.items = {}
                 follower.replica.revision = 0
