--- a/packages/gateway/plantainshed_gateway/daemon.py
+++ b/packages/gateway/plantainshed_gateway/daemon.py
@@ -30,26 +30,26 @@
 # Part of the time to stop in which requests are still taken: callers keep an
 # answered look-up, and some keep it for three times as long. What comes in the
 # second half could not be let run to its end, and is for other VMs.
-ACCEPT_PART = 0.5
+ACCEPT_FRACTION = 0.5
 # Part of it after which what still runs is broken off.
-LAST_PART = 0.93
+DRAIN_FRACTION = 0.93
 WATCH_SETTINGS_S = 1.0
 METRICS_PATH = "/metrics"
 
-MakeSurroundings = Callable[[Settings], PlatformAdapter]
+MakePlatformAdapter = Callable[[Settings], PlatformAdapter]
 
 
-async def run_daemon(settings_path: str, make_surroundings: MakeSurroundings):
+async def run_daemon(settings_path: str, make_platform_adapter: MakePlatformAdapter):
     """Run a gateway until SIGTERM, then stop without cutting a request."""
     # Read first: what changes from here on is then seen to differ from it.
-    content = _content_of(settings_path)
+    content = _read_content(settings_path)
     settings = load_settings(settings_path)
     log = DecisionLog(settings.vm, settings.failure_domain)
     with open_signals() as signals, log.writing():
         # Wall clock, but only as an identity: it is compared with nothing but
         # earlier starts of this same VM.
         incarnation = time.time_ns() // 1_000_000
-        context = Context(settings, make_surroundings(settings), log, incarnation)
+        context = Context(settings, make_platform_adapter(settings), log, incarnation)
         log.milestone("start", incarnation=incarnation, settings=settings_path)
         try:
             await _Daemon(Gateway(context), settings_path, content).run(signals)
@@ -75,7 +75,7 @@
         gateway, listen = self.gateway, self.settings.listen
         state = StateHandler(gateway.replicas)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._obey, signals)
+            nursery.start_soon(self._handle_signals, signals)
             await self._serve(nursery, listen.ready, gateway.answer_readiness)
             await self._serve(nursery, listen.lookup, gateway.answer_lookup)
             await self._serve(nursery, listen.control, state.handle)
@@ -127,7 +127,7 @@
 
     # Signals.
 
-    async def _obey(self, signals: AsyncIterator[int]):
+    async def _handle_signals(self, signals: AsyncIterator[int]):
         """Act on signals, in whichever state they come, until cancelled."""
         async for number in signals:
             if number == signal.SIGHUP:
@@ -152,7 +152,7 @@
         await trio.sleep_until(accept_until)
         self.stopping.set()
         self._log_stopping("no new connections")
-        with trio.move_on_at(began_at + LAST_PART * within_s) as scope:
+        with trio.move_on_at(began_at + DRAIN_FRACTION * within_s) as scope:
             await self.closed.wait()
         self._log_stopping("stopped late" if scope.cancelled_caught else "callers gone")
 
@@ -166,18 +166,18 @@
         """Notice a settings file that changed without a signal."""
         while True:
             await trio.sleep(WATCH_SETTINGS_S)
-            if _content_of(self.settings_path) != self.settings_content:
+            if _read_content(self.settings_path) != self.settings_content:
                 self._reload("file changed")
 
     def _reload(self, cause: str):
-        self.settings_content = _content_of(self.settings_path)
+        self.settings_content = _read_content(self.settings_path)
         try:
             settings = load_settings(self.settings_path)
         except SettingsError as error:
             self.log.event("reload failed", cause=cause, problem=str(error))
             return
         before = self.settings
-        self.settings = self.gateway.take_settings(settings)
+        self.settings = self.gateway.apply_settings(settings)
         self.log.event(
             "reload",
             cause=cause,
@@ -193,7 +193,7 @@
     off, a request that comes at its end waits in a target's queue while the time
     to stop runs out, and is cut though the target runs it.
     """
-    return max(0.0, ACCEPT_PART * within_s - STOP_GRACE_S)
+    return max(0.0, ACCEPT_FRACTION * within_s - STOP_GRACE_S)
 
 
 async def _listen(address: str) -> list[trio.SocketListener]:
@@ -201,7 +201,7 @@
     return await trio.open_tcp_listeners(int(port), host=host, backlog=BACKLOG)
 
 
-def _content_of(path: str) -> bytes | None:
+def _read_content(path: str) -> bytes | None:
     # Bytes, for a file that is being written may hold what is no text.
     with contextlib.suppress(OSError):
         return Path(path).read_bytes()
--- a/packages/gateway/plantainshed_gateway/freshness.py
+++ b/packages/gateway/plantainshed_gateway/freshness.py
@@ -19,18 +19,18 @@
 from .errors import HistoryGone, StoreUnavailable
 from .ports import Collection
 from .replication import (
-    FIRST_RETRY_S,
-    KEPT_CHANGES,
-    LONGEST_RETRY_S,
+    INITIAL_RETRY_DELAY_S,
+    MAX_KEPT_BATCHES,
+    MAX_RETRY_DELAY_S,
     PEER_GRACE_S,
     Follower,
 )
 
 # What is left of the time in which a change must be in force once a poll is due:
 # the poll's answer, and other VMs that wait for `PEER_GRACE_S` and fetch the change.
-TELL_S = 2 * PEER_GRACE_S
+PROPAGATION_S = 2 * PEER_GRACE_S
 
-IsOnDuty = Callable[[], bool]
+IsPoller = Callable[[], bool]
 
 
 def poll_interval_s(in_force_within_s: float) -> float:
@@ -41,16 +41,16 @@
     in_force_within_s : float
         Time in which a change must be in force on all VMs, in seconds.
     """
-    return max(in_force_within_s - TELL_S, in_force_within_s / 2)
+    return max(in_force_within_s - PROPAGATION_S, in_force_within_s / 2)
 
 
-class Freshness:
+class FreshnessPoller:
     """Polls the store for what this VM's watches may have missed.
 
     Parameters
     ----------
     followers : dict of Collection to Follower
-    is_on_duty : callable
+    is_poller : callable
         Tells whether this VM is the one of its failure domain that polls.
     vm : str
         Spreads the polls of failure domains that start together.
@@ -59,22 +59,22 @@
     ----------
     confirmed_revision : int
         Revision of the store up to which all copies were found complete.
-    is_lost : bool
+    is_store_unreachable : bool
         Whether the last poll was not answered.
     """
 
     def __init__(
         self,
         followers: dict[Collection, Follower],
-        is_on_duty: IsOnDuty,
+        is_poller: IsPoller,
         vm: str,
     ):
         self.followers = followers
-        self.is_on_duty = is_on_duty
+        self.is_poller = is_poller
         self.vm = vm
         self.confirmed_revision = 0
-        self.is_lost = False
-        self._retry_s = FIRST_RETRY_S
+        self.is_store_unreachable = False
+        self._retry_delay_s = INITIAL_RETRY_DELAY_S
 
     async def run(self, interval_s: Callable[[], float]):
         """Poll at each interval until cancelled."""
@@ -89,18 +89,18 @@
         # Off duty too, a lost store is polled until it answers: watches that were
         # sent into its silence are sent again then.
         copies = [follower.replica for follower in self.followers.values()]
-        is_wanted = self.is_lost or self.is_on_duty()
+        is_wanted = self.is_store_unreachable or self.is_poller()
         return is_wanted and all(copy.is_initialized for copy in copies)
 
     def _pause_s(self, began_at: float, interval_s: float) -> float:
-        if not self.is_lost:
-            self._retry_s = FIRST_RETRY_S
+        if not self.is_store_unreachable:
+            self._retry_delay_s = INITIAL_RETRY_DELAY_S
             return interval_s
         # An unanswered poll has taken its time already; one that was turned away
         # at once has not, and the store may be turning away what is too much.
         took_s = trio.current_time() - began_at
-        pause_s = max(FIRST_RETRY_S, self._retry_s - took_s)
-        self._retry_s = min(LONGEST_RETRY_S, 2 * self._retry_s)
+        pause_s = max(INITIAL_RETRY_DELAY_S, self._retry_delay_s - took_s)
+        self._retry_delay_s = min(MAX_RETRY_DELAY_S, 2 * self._retry_delay_s)
         return pause_s
 
     async def check(self):
@@ -108,23 +108,23 @@
         try:
             newest = await self._newest_confirmed()
         except StoreUnavailable as error:
-            self._note_lost(str(error))
+            self._mark_disconnected(str(error))
         except HistoryGone:
-            self._note_answered()
-            self._read_again()
+            self._mark_connected()
+            self._relist_all()
         else:
-            self._note_answered()
-            self._note_complete(newest)
+            self._mark_connected()
+            self._mark_complete(newest)
 
     async def _newest_confirmed(self) -> int:
         """Return a revision up to which all copies are complete now."""
         newest = await self.followers[Collection.CONFIGURATION].poll()
-        if self.is_lost or not self._knows_all_up_to(newest):
+        if self.is_store_unreachable or not self._knows_all_up_to(newest):
             await self._poll_others()
-            newest = min(newest, self._polled_up_to())
+            newest = min(newest, self._lowest_revision())
         return newest
 
-    def _polled_up_to(self) -> int:
+    def _lowest_revision(self) -> int:
         # A part of the store that lags can answer one poll with an older revision
         # than it answered another.
         return min(f.replica.revision for f in self.followers.values())
@@ -136,7 +136,7 @@
 
     def _knows_all_up_to(self, newest: int) -> bool:
         unconfirmed = range(self.confirmed_revision + 1, newest + 1)
-        if len(unconfirmed) > KEPT_CHANGES:
+        if len(unconfirmed) > MAX_KEPT_BATCHES:
             return False
         known = {
             change.item.revision
@@ -146,24 +146,24 @@
         }
         return known.issuperset(unconfirmed)
 
-    def _note_lost(self, problem: str):
-        self.is_lost = True
+    def _mark_disconnected(self, problem: str):
+        self.is_store_unreachable = True
         for follower in self.followers.values():
-            follower.note_lost(problem)
+            follower.mark_disconnected(problem)
 
-    def _note_answered(self):
+    def _mark_connected(self):
         for follower in self.followers.values():
-            follower.note_regained()
-            if self.is_lost:
+            follower.mark_connected()
+            if self.is_store_unreachable:
                 # Sent into the silence, it may never be answered.
                 follower.restart_watch()
-        self.is_lost = False
+        self.is_store_unreachable = False
 
-    def _read_again(self):
+    def _relist_all(self):
         for follower in self.followers.values():
-            follower.list_again()
+            follower.relist()
 
-    def _note_complete(self, newest: int):
+    def _mark_complete(self, newest: int):
         self.confirmed_revision = max(self.confirmed_revision, newest)
         for follower in self.followers.values():
-            follower.replica.note_complete(newest)
+            follower.replica.mark_complete(newest)
--- a/packages/gateway/plantainshed_gateway/gateway.py
+++ b/packages/gateway/plantainshed_gateway/gateway.py
@@ -14,7 +14,7 @@
 from .datagrams import Message
 from .errors import BadRequest, ItemExists, StoreUnavailable
 from .forwarding import Forwarder
-from .freshness import Freshness, poll_interval_s
+from .freshness import FreshnessPoller, poll_interval_s
 from .heartbeats import Heartbeat, VmState
 from .loans import Loans
 from .lookup import LookupTable
@@ -34,7 +34,7 @@
 from .serving import Serving
 from .settings import Settings
 from .speakers import Speakers
-from .state_taker import StateTaker
+from .state_taker import StateApplier
 from .survey import DistanceProber
 
 FOLLOWED = (Collection.CONFIGURATION, Collection.TARGETS, Collection.EVACUATIONS)
@@ -99,7 +99,7 @@
             self.round_trips,
         )
         self.forwarder = Forwarder(surroundings.wire, self.connections, context.metrics)
-        self.survey = DistanceProber(
+        self.distance_prober = DistanceProber(
             self.registry, self.connections, self.round_trips, context.log
         )
         self.serving = Serving(
@@ -123,10 +123,10 @@
             )
             for collection in FOLLOWED
         }
-        self.freshness = Freshness(
+        self.freshness = FreshnessPoller(
             self.followers, self.speakers.is_first_in_touch, settings.vm
         )
-        self.state_taker = StateTaker(
+        self.state_applier = StateApplier(
             surroundings.decoder,
             self.followers,
             self.admission,
@@ -145,7 +145,7 @@
         )
         self._nursery: trio.Nursery | None = None
 
-    def take_settings(self, new: Settings) -> Settings:
+    def apply_settings(self, new: Settings) -> Settings:
         """Take over what may change while the daemon runs: bounds and seeds.
 
         Returns the settings in force. The rest stays as it was at the start: told
@@ -183,7 +183,7 @@
         return poll_interval_s(self.context.settings.bounds.in_force_within_s)
 
     def _on_change(self, collection: Collection):
-        self.state_taker.take(collection)
+        self.state_applier.apply(collection)
         self._become_ready()
         if self._nursery is not None and self.speakers.is_speaker:
             # The others of this failure domain have changes from here.
@@ -253,7 +253,7 @@
                 is_first = not self.members.is_listed
                 self.members.is_listed = True
                 for item in snapshot.items:
-                    self._take_listed(item)
+                    self._add_listed_vm(item)
                 if is_first:
                     await self.peers.send_now()
             except StoreUnavailable as error:
@@ -261,7 +261,7 @@
                 pause_s = REGISTER_RETRY_S
             await trio.sleep(pause_s)
 
-    def _take_listed(self, item: Item):
+    def _add_listed_vm(self, item: Item):
         value = item.value if isinstance(item.value, dict) else {}
         ip, failure_domain = value.get("ip"), value.get("failure_domain")
         if isinstance(ip, str) and isinstance(failure_domain, str):
@@ -293,7 +293,7 @@
             self.quotas.divide()
             self.registry.drop_expired()
             self.connections.close_idle(set(self.registry.states))
-            self.survey.measure_unknown(self._nursery)
+            self.distance_prober.measure_unknown(self._nursery)
             self._measure()
             for vm in self.members.forget_gone():
                 self.log.event("vm forgotten", peer=vm)
@@ -306,15 +306,15 @@
             labels = {"collection": collection.value}
             metrics.copy_revision.set(labels, replica.revision)
             if replica.is_initialized:
-                metrics.copy_age.set(labels, trio.current_time() - replica.heard_at)
+                metrics.copy_age.set(labels, trio.current_time() - replica.confirmed_at)
 
     async def _catch_up_after(self, paused_s: float):
         """Learn what changed while this process stood still."""
         self.log.event("was paused", seconds=round(paused_s, 3))
         self.serving.is_awake = False
-        self.state_taker.note_pause()
+        self.state_applier.note_pause()
         for follower in self.followers.values():
-            follower.list_again()
+            follower.relist()
         with trio.move_on_after(CATCH_UP_S):
             while not all(replica.is_confirmed for replica in self.replicas.values()):
                 await trio.sleep(CATCH_UP_STEP_S)
--- a/packages/gateway/plantainshed_gateway/logs.py
+++ b/packages/gateway/plantainshed_gateway/logs.py
@@ -44,9 +44,9 @@
         self.failure_domain = failure_domain
         self.stream: io.TextIOBase = stream or sys.stdout
         self.dropped = 0
-        self._reported = 0
+        self._dropped_reported = 0
         self._tokens = BURST_LINES
-        self._counted_at = 0.0
+        self._refilled_at = 0.0
         self._formatter = OrjsonFormatter()
         self._lines: queue.Queue = queue.Queue(QUEUED_LINES)
         self._writer: threading.Thread | None = None
@@ -64,22 +64,22 @@
         Without those of its stop, a process whose lines end looks like one that
         was ended from outside.
         """
-        if self.dropped > self._reported:
+        if self.dropped > self._dropped_reported:
             fields["lines_dropped"] = self.dropped
-            self._reported = self.dropped
-        self._put(event, fields)
+            self._dropped_reported = self.dropped
+        self._enqueue(event, fields)
 
     def _take_token(self) -> bool:
         now = trio.current_time()
-        grown = self._tokens + (now - self._counted_at) * LINES_PER_S
-        self._tokens = min(BURST_LINES, grown)
-        self._counted_at = now
+        refilled = self._tokens + (now - self._refilled_at) * LINES_PER_S
+        self._tokens = min(BURST_LINES, refilled)
+        self._refilled_at = now
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
         return True
 
-    def _put(self, event: str, fields: dict):
+    def _enqueue(self, event: str, fields: dict):
         record = logging.LogRecord("", logging.INFO, "", 0, event, (), None)
         record.__dict__.update(
             at=round(trio.current_time(), 4),
--- a/packages/gateway/plantainshed_gateway/registry.py
+++ b/packages/gateway/plantainshed_gateway/registry.py
@@ -17,25 +17,25 @@
 # Entries of a pool, as a part and a number, that must vanish together without
 # having said that they leave, to count as lapsed. Targets are replaced and
 # crash one or a few at a time.
-MANY_LAPSED = 0.34
-LEAST_LAPSED = 3
+MASS_EXPIRY_FRACTION = 0.34
+MASS_EXPIRY_MIN_TARGETS = 3
 # Failures in a row after which a target gets nothing for a while, and for how
 # long at first. One failure can be a single lost answer.
 FAILURES_TO_EJECT = 3
-EJECT_S = 1.0
-LONGEST_EJECT_S = 8.0
+INITIAL_EJECTION_S = 1.0
+MAX_EJECTION_S = 8.0
 # How long a target that refused a connection, or turned out to be another
 # instance, gets nothing. Its entry is gone within a few heartbeats of 1.5 s.
-UNREACHABLE_S = 1.5
+UNREACHABLE_EJECTION_S = 1.5
 # How long a target's own report of its load is used.
-LOAD_FRESH_S = 1.0
+LOAD_MAX_AGE_S = 1.0
 # Time in which the share of objects of a new target grows to its full size,
 # so that under 15 % of a region's requests move to another region in 2 s.
 RAMP_S = 10.0
 RAMP_STEPS = 10
 # Most of a pool that may be out because requests failed there; when more seem
 # broken, the fault is more likely elsewhere.
-MOST_EJECTED = 0.5
+MAX_EJECTED_FRACTION = 0.5
 
 
 @define(eq=False)
@@ -55,7 +55,7 @@
         What the target said of its load, when, and this VM's own part then.
     failures, ejections : int
         Failures in a row; how often it was ejected lately.
-    out_until : float
+    ejected_until : float
         Until when it gets nothing.
     """
 
@@ -68,7 +68,7 @@
     in_flight_at_load: int = 0
     failures: int = 0
     ejections: int = 0
-    out_until: float = 0.0
+    ejected_until: float = 0.0
     expired_at: float | None = None
 
     @property
@@ -77,14 +77,14 @@
         return self.cold_until > trio.current_time()
 
     @property
-    def lapse_ends_at(self) -> float:
+    def grace_ends_at(self) -> float:
         """When it gets nothing more, if its entry does not come back."""
         return inf if self.expired_at is None else self.expired_at + EXPIRY_GRACE_S
 
     @property
     def is_ejected(self) -> bool:
         """Whether it gets nothing for a while."""
-        return self.out_until > trio.current_time()
+        return self.ejected_until > trio.current_time()
 
     @property
     def weight(self) -> float:
@@ -100,7 +100,7 @@
     @property
     def expected_load(self) -> float:
         """Requests there: what it said last, and what changed here since."""
-        if trio.current_time() - self.load_at > LOAD_FRESH_S or self.load is None:
+        if trio.current_time() - self.load_at > LOAD_MAX_AGE_S or self.load is None:
             return float(self.in_flight)
         reported = self.load.running + self.load.waiting
         return max(self.in_flight, reported + self.in_flight - self.in_flight_at_load)
@@ -128,14 +128,16 @@
         self.failures += 1
         if self.failures < FAILURES_TO_EJECT:
             return
-        seconds = min(LONGEST_EJECT_S, EJECT_S * 2**self.ejections)
-        self.out_until = max(self.out_until, trio.current_time() + seconds)
+        seconds = min(MAX_EJECTION_S, INITIAL_EJECTION_S * 2**self.ejections)
+        self.ejected_until = max(self.ejected_until, trio.current_time() + seconds)
         self.ejections += 1
         self.failures = 0
 
     def note_unreachable(self):
         """Note that it accepts no connection, or is another instance now."""
-        self.out_until = max(self.out_until, trio.current_time() + UNREACHABLE_S)
+        self.ejected_until = max(
+            self.ejected_until, trio.current_time() + UNREACHABLE_EJECTION_S
+        )
 
 
 class Registry:
@@ -156,16 +158,16 @@
         self.configuration: Configuration | None = None
         self.generation = 0
         self._by_pool: dict[str, list[TargetState]] = {}
-        self._is_first = True
+        self._is_first_update = True
         # Until when some target's share of objects grows.
         self.ramps_until = float("-inf")
-        self._lapse_ends_at = inf
+        self._next_grace_end = inf
 
     def update_entries(
         self,
         entries: list[TargetEntry],
         may_have_expired: bool,
-        told_after_s: float = 0.0,
+        notification_delay_s: float = 0.0,
     ):
         """Take over the registered targets.
 
@@ -176,12 +178,12 @@
             Whether the store has just come back from an outage. Entries that
             ran out meanwhile are then missing though their targets live, and
             dropping them at once would leave pools empty for two seconds.
-        told_after_s : float
+        notification_delay_s : float
             How much later than the store said so this VM may hear what vanished.
         """
         named = {entry.instance: entry for entry in entries}
         states = {
-            instance: self._taken(self.states.get(instance), entry)
+            instance: self._updated_state(self.states.get(instance), entry)
             for instance, entry in named.items()
         }
         vanished = [
@@ -190,23 +192,29 @@
             if instance not in named and not state.entry.is_leaving
         ]
         for state in vanished:
-            if may_have_expired or state.expired_at or self._are_many(state, vanished):
-                heard_at = trio.current_time() - told_after_s
+            if (
+                may_have_expired
+                or state.expired_at
+                or self._is_mass_expiry(state, vanished)
+            ):
+                heard_at = trio.current_time() - notification_delay_s
                 state.expired_at = state.expired_at or heard_at
                 states[state.entry.instance] = state
         self.states = states
-        self._is_first = False
-        self._group()
+        self._is_first_update = False
+        self._rebuild_pools()
 
-    def _are_many(self, state: TargetState, vanished: list[TargetState]) -> bool:
+    def _is_mass_expiry(self, state: TargetState, vanished: list[TargetState]) -> bool:
         """Tell whether so much of a pool vanished that its entries lapsed."""
         pool = state.entry.pool
         gone = sum(1 for other in vanished if other.entry.pool == pool)
         known = sum(1 for other in self.states.values() if other.entry.pool == pool)
-        return gone >= max(LEAST_LAPSED, MANY_LAPSED * known)
+        return gone >= max(MASS_EXPIRY_MIN_TARGETS, MASS_EXPIRY_FRACTION * known)
 
-    def _taken(self, state: TargetState | None, entry: TargetEntry) -> TargetState:
-        if state is None or _is_new_run(state.entry, entry):
+    def _updated_state(
+        self, state: TargetState | None, entry: TargetEntry
+    ) -> TargetState:
+        if state is None or _is_restart(state.entry, entry):
             state = self._new_state(entry)
         state.entry = entry
         state.expired_at = None
@@ -215,7 +223,7 @@
 
     def _new_state(self, entry: TargetEntry) -> TargetState:
         state = TargetState(entry)
-        if not self._is_first:
+        if not self._is_first_update:
             # It joined while this VM was looking on, so it has just started.
             self._begin_ramp(state)
         return state
@@ -230,17 +238,17 @@
         gone = [
             instance
             for instance, state in self.states.items()
-            if state.lapse_ends_at <= trio.current_time()
+            if state.grace_ends_at <= trio.current_time()
         ]
         for instance in gone:
             del self.states[instance]
         if gone:
-            self._group()
+            self._rebuild_pools()
 
     def update_configuration(self, configuration: Configuration):
         """Take over the pools of a new configuration."""
         self.configuration = configuration
-        self._group()
+        self._rebuild_pools()
 
     def update_evacuated(self, failure_domains: frozenset[str]):
         """Take over which failure domains get nothing.
@@ -253,17 +261,17 @@
             if domain in self.evacuated and domain not in failure_domains:
                 self._begin_ramp(state)
         self.evacuated = failure_domains
-        self._group()
+        self._rebuild_pools()
 
     def _warmup_of(self, pool: str) -> float:
         known = self.configuration.pools.get(pool) if self.configuration else None
         return known.warmup_s if known else 0.0
 
-    def _group(self):
+    def _rebuild_pools(self):
         self.generation += 1
         self._by_pool = {}
-        lapses = (state.lapse_ends_at for state in self.states.values())
-        self._lapse_ends_at = min(lapses, default=inf)
+        grace_ends = (state.grace_ends_at for state in self.states.values())
+        self._next_grace_end = min(grace_ends, default=inf)
         for state in self.states.values():
             entry = state.entry
             if entry.is_leaving or entry.failure_domain in self.evacuated:
@@ -272,7 +280,7 @@
 
     def eligible(self, pool: str, home_regions: frozenset[str]) -> list[TargetState]:
         """Return the targets of a pool that may get new work, sound or not."""
-        if trio.current_time() >= self._lapse_ends_at:
+        if trio.current_time() >= self._next_grace_end:
             self.drop_expired()
         states = self._by_pool.get(pool, [])
         if not home_regions:
@@ -290,10 +298,10 @@
         of it is used.
         """
         eligible = self.eligible(pool, home_regions)
-        sound = [state for state in eligible if not state.is_ejected]
-        if len(sound) < len(eligible) * MOST_EJECTED:
+        healthy = [state for state in eligible if not state.is_ejected]
+        if len(healthy) < len(eligible) * MAX_EJECTED_FRACTION:
             return eligible
-        return sound
+        return healthy
 
 
 def vms_for_cold_target(instance: str, vms: list[str], most: int) -> list[str]:
@@ -305,7 +313,7 @@
     return rendezvous_order(instance, vms)[: max(1, most)]
 
 
-def _is_new_run(known: TargetEntry, entry: TargetEntry) -> bool:
+def _is_restart(known: TargetEntry, entry: TargetEntry) -> bool:
     """Tell whether a target has started again under the name that it had."""
     return (
         known.started_ms != entry.started_ms
--- a/packages/gateway/plantainshed_gateway/replication.py
+++ b/packages/gateway/plantainshed_gateway/replication.py
@@ -20,12 +20,12 @@
 
 # First and longest pause between calls to a store that does not answer. It is
 # back within the time in which a configuration must be in force, 2 s.
-FIRST_RETRY_S = 0.1
-LONGEST_RETRY_S = 0.8
+INITIAL_RETRY_DELAY_S = 0.1
+MAX_RETRY_DELAY_S = 0.8
 # How long one watch waits for a change, and how much longer its answer may
 # take before the watch counts as dead. Polls (`freshness`) and peers
 # (`PEER_GRACE_S`) notice a dead one sooner; this bounds it without them.
-WATCH_S = 20.0
+WATCH_TIMEOUT_S = 20.0
 WATCH_MARGIN_S = 2.0
 # Pause after a change before the next watch. Changes come in clumps, and each
 # watch is a call that has its price; it is short beside the 2 s in which a
@@ -37,21 +37,21 @@
 PEER_GRACE_S = 0.25
 # The same for a VM that has its changes from its failure domain's speakers. News
 # of other domains comes half a second after theirs; what is missing then was not
-# told by them.
-RESTING_GRACE_S = 0.5
+# not told by them.
+DELEGATED_GRACE_S = 0.5
 # Peers that are asked for one collection at a time.
-MOST_ASKED = 2
+MAX_CONCURRENT_FETCHES = 2
 # Time after a start in which the VMs of the own failure domain are heard, and it
 # is known whether others watch the store.
-SETTLE_S = 1.0
+HEARTBEAT_WAIT_S = 1.0
 # How often a VM that leaves watching to others looks whether they still do.
-REST_S = 0.25
+DELEGATION_CHECK_S = 0.25
 # Batches of changes that are kept for others; some minutes of usual changes.
-KEPT_CHANGES = 64
+MAX_KEPT_BATCHES = 64
 
 Listener = Callable[[Collection], None]
 FetchFromPeer = Callable[[str, Collection, int], Awaitable[Snapshot | Changes]]
-IsCovered = Callable[[], bool]
+IsWatchedByOthers = Callable[[], bool]
 
 
 @define
@@ -66,7 +66,7 @@
         first.
     changed_at_revision : int
         Revision of the newest change that is known.
-    heard_at : float
+    confirmed_at : float
         When the store, or a peer, last confirmed it.
     is_confirmed : bool
         False after a pause of this process, until it is read again.
@@ -78,10 +78,10 @@
     items: dict[str, Item] = field(factory=dict)
     revision: int = 0
     changed_at_revision: int = 0
-    heard_at: float = float("-inf")
+    confirmed_at: float = float("-inf")
     is_confirmed: bool = True
     recent: deque[tuple[int, Changes]] = field(
-        factory=lambda: deque(maxlen=KEPT_CHANGES)
+        factory=lambda: deque(maxlen=MAX_KEPT_BATCHES)
     )
 
     @property
@@ -89,7 +89,7 @@
         """Whether any state has ever been taken."""
         return self.revision > 0
 
-    def take_snapshot(self, snapshot: Snapshot) -> bool:
+    def apply_snapshot(self, snapshot: Snapshot) -> bool:
         """Replace the copy by a newer one; tell whether anything changed."""
         # An overtaken one too: the copy is complete beyond what was read.
         self.is_confirmed = True
@@ -108,15 +108,15 @@
         self.items = items
         self.revision = snapshot.revision
         self.recent.clear()
-        self.heard_at = trio.current_time()
+        self.confirmed_at = trio.current_time()
         return changed
 
-    def take_changes(self, changes: Changes) -> bool:
-        """Apply what a watch, a poll or a peer told; tell whether anything changed."""
+    def apply_changes(self, changes: Changes) -> bool:
+        """Apply the changes of a watch, poll or peer; return whether any applied."""
         if changes.revision < self.revision:
             # Overtaken on its way: an object deleted since would come back.
             return False
-        self.heard_at = trio.current_time()
+        self.confirmed_at = trio.current_time()
         if changes.revision == self.revision:
             return False
         changed = False
@@ -136,10 +136,10 @@
         self.revision = max(self.revision, changes.revision)
         return changed
 
-    def note_complete(self, revision: int):
+    def mark_complete(self, revision: int):
         """Note that nothing of this collection changed up to a revision."""
         self.revision = max(self.revision, revision)
-        self.heard_at = trio.current_time()
+        self.confirmed_at = trio.current_time()
 
     def changes_since(self, revision: int) -> Changes | None:
         """Return what changed after a revision, None if that is not kept."""
@@ -164,7 +164,7 @@
     listener : callable
         Called after each change of the copy.
     log : DecisionLog
-    is_covered : callable, optional
+    is_watched_by_others : callable, optional
         Tells whether other VMs watch the store for this one. Without it none do.
     """
 
@@ -174,94 +174,94 @@
         collection: Collection,
         listener: Listener,
         log: DecisionLog,
-        is_covered: IsCovered | None = None,
+        is_watched_by_others: IsWatchedByOthers | None = None,
     ):
-        self._is_covered = is_covered
+        self._is_watched_by_others = is_watched_by_others
         self.store = store
         self.collection = collection
         self.listener = listener
         self.log = log
         self.replica = Replica(collection)
         self.is_connected = False
-        self.lost_at: float | None = None
-        self.regained_at = float("-inf")
-        self._retry_s = FIRST_RETRY_S
-        self._must_list = True
-        self.is_resting = False
-        self._is_settled = False
-        self._watching: trio.CancelScope | None = None
-        self._is_overtaken = False
+        self.disconnected_at: float | None = None
+        self.reconnected_at = float("-inf")
+        self._retry_delay_s = INITIAL_RETRY_DELAY_S
+        self._needs_list = True
+        self.is_watch_delegated = False
+        self._has_waited_for_heartbeats = False
+        self._watch_scope: trio.CancelScope | None = None
+        self._is_watch_superseded = False
         # Peers that are being asked, and when each is, or was, sent the question.
-        self._asked: dict[str, float] = {}
+        self._fetch_started_at: dict[str, float] = {}
 
     async def run(self):
         """Follow the collection until cancelled."""
         while True:
             try:
-                while self._must_list:
+                while self._needs_list:
                     await self._list()
-                if self._is_covered and not self._is_settled:
-                    await self._settle()
-                if self._is_covered and self._is_covered():
-                    await self._rest()
+                if self._is_watched_by_others and not self._has_waited_for_heartbeats:
+                    await self._wait_for_heartbeats()
+                if self._is_watched_by_others and self._is_watched_by_others():
+                    await self._delegate_watch()
                 else:
                     await self._watch()
             except HistoryGone:
-                self._must_list = True
+                self._needs_list = True
                 self.log.event(
                     "store history gone", collection=self.collection, action="list"
                 )
             except StoreUnavailable as error:
-                self.note_lost(str(error))
-                await trio.sleep(self._retry_s)
-                self._retry_s = min(LONGEST_RETRY_S, 2 * self._retry_s)
+                self.mark_disconnected(str(error))
+                await trio.sleep(self._retry_delay_s)
+                self._retry_delay_s = min(MAX_RETRY_DELAY_S, 2 * self._retry_delay_s)
 
     async def _list(self):
-        self._must_list = False
+        self._needs_list = False
         try:
             snapshot = await self.store.list(self.collection)
         except StoreUnavailable:
-            self._must_list = True
+            self._needs_list = True
             raise
-        self._retry_s = FIRST_RETRY_S
-        self.note_regained()
-        is_changed = self.replica.take_snapshot(snapshot)
+        self._retry_delay_s = INITIAL_RETRY_DELAY_S
+        self.mark_connected()
+        is_changed = self.replica.apply_snapshot(snapshot)
         # Not if this process was paused meanwhile: the answer can be from before.
-        self.replica.is_confirmed = not self._must_list
+        self.replica.is_confirmed = not self._needs_list
         if is_changed:
             self.listener(self.collection)
 
-    async def _settle(self):
+    async def _wait_for_heartbeats(self):
         """Give the first heartbeats time to tell whether others watch."""
-        self._is_settled = True
-        with trio.move_on_after(SETTLE_S):
-            while not self._is_covered() and not self._must_list:
-                await trio.sleep(REST_S)
+        self._has_waited_for_heartbeats = True
+        with trio.move_on_after(HEARTBEAT_WAIT_S):
+            while not self._is_watched_by_others() and not self._needs_list:
+                await trio.sleep(DELEGATION_CHECK_S)
 
-    async def _rest(self):
+    async def _delegate_watch(self):
         """Leave watching to other VMs for as long as they do."""
-        self.is_resting = True
+        self.is_watch_delegated = True
         self.log.event("store watched by others", collection=self.collection)
-        while self._is_covered() and not self._must_list:
-            await trio.sleep(REST_S)
-        self.is_resting = False
+        while self._is_watched_by_others() and not self._needs_list:
+            await trio.sleep(DELEGATION_CHECK_S)
+        self.is_watch_delegated = False
         self.log.event("store watched here", collection=self.collection)
 
     async def _watch(self):
-        with trio.move_on_after(WATCH_S + WATCH_MARGIN_S) as scope:
-            self._watching, self._is_overtaken = scope, False
+        with trio.move_on_after(WATCH_TIMEOUT_S + WATCH_MARGIN_S) as scope:
+            self._watch_scope, self._is_watch_superseded = scope, False
             changes = await self.store.watch(
-                self.collection, self.replica.revision, WATCH_S
+                self.collection, self.replica.revision, WATCH_TIMEOUT_S
             )
-        self._watching = None
+        self._watch_scope = None
         if scope.cancelled_caught:
-            if self._is_overtaken:
-                self._is_overtaken = False
+            if self._is_watch_superseded:
+                self._is_watch_superseded = False
                 return
             raise StoreUnavailable("the watch went silent")
-        self._retry_s = FIRST_RETRY_S
-        self.note_regained()
-        if self.replica.take_changes(changes):
+        self._retry_delay_s = INITIAL_RETRY_DELAY_S
+        self.mark_connected()
+        if self.replica.apply_changes(changes):
             self.listener(self.collection)
             await trio.sleep(COALESCE_S)
 
@@ -272,8 +272,8 @@
         """
         before = self.replica.revision
         changes = await self.store.watch(self.collection, before, 0.0)
-        self.note_regained()
-        if self.replica.take_changes(changes):
+        self.mark_connected()
+        if self.replica.apply_changes(changes):
             self.log.event(
                 "changes found by a poll",
                 collection=self.collection,
@@ -284,25 +284,25 @@
             self.restart_watch()
         return changes.revision
 
-    def note_regained(self):
+    def mark_connected(self):
         """Note that the store answers this VM."""
         if self.is_connected:
             return
         self.is_connected = True
-        if self.lost_at is not None:
-            self.regained_at = trio.current_time()
+        if self.disconnected_at is not None:
+            self.reconnected_at = trio.current_time()
         self.log.event(
             "store regained",
             collection=self.collection,
             revision=self.replica.revision,
-            lost_for_s=self._lost_for_s(),
+            lost_for_s=self._disconnected_for_s(),
         )
-        self.lost_at = None
+        self.disconnected_at = None
 
-    def note_lost(self, problem: str):
+    def mark_disconnected(self, problem: str):
         """Note that the store does not answer this VM."""
-        if self.lost_at is None:
-            self.lost_at = trio.current_time()
+        if self.disconnected_at is None:
+            self.disconnected_at = trio.current_time()
             self.log.event(
                 "store lost",
                 collection=self.collection,
@@ -311,13 +311,13 @@
             )
         self.is_connected = False
 
-    def _lost_for_s(self) -> float:
-        if self.lost_at is None:
+    def _disconnected_for_s(self) -> float:
+        if self.disconnected_at is None:
             return 0.0
-        return round(trio.current_time() - self.lost_at, 3)
+        return round(trio.current_time() - self.disconnected_at, 3)
 
     async def catch_up(
-        self, peer: str, newest: int, fetch: FetchFromPeer, is_near: bool = False
+        self, peer: str, newest: int, fetch: FetchFromPeer, is_same_domain: bool = False
     ):
         """Take the copy of a peer that knows a newer change than this VM.
 
@@ -326,19 +326,19 @@
         have left, for as long as that lasts. What a peer knows came from the
         store, so taking it is as good as having heard it.
         """
-        if self._is_answer_due(peer) or self.replica.revision >= newest:
+        if self._must_wait_to_fetch(peer) or self.replica.revision >= newest:
             return
         grace_s = PEER_GRACE_S
-        if self.is_resting:
-            grace_s = 0.0 if is_near else RESTING_GRACE_S
-        self._asked[peer] = trio.current_time() + grace_s
+        if self.is_watch_delegated:
+            grace_s = 0.0 if is_same_domain else DELEGATED_GRACE_S
+        self._fetch_started_at[peer] = trio.current_time() + grace_s
         try:
             await trio.sleep(grace_s)
             before = self.replica.revision
             if before >= newest:
                 return
-            told = await fetch(peer, self.collection, before)
-            changed = self._take_told(told)
+            fetched = await fetch(peer, self.collection, before)
+            changed = self._apply_fetched(fetched)
             self.log.event(
                 "state taken from peer",
                 collection=self.collection,
@@ -351,31 +351,37 @@
                 self.listener(self.collection)
             self.restart_watch()
         finally:
-            del self._asked[peer]
+            del self._fetch_started_at[peer]
 
-    def _is_answer_due(self, peer: str) -> bool:
+    def _must_wait_to_fetch(self, peer: str) -> bool:
         """Tell whether to wait for those asked before this peer is asked too.
 
         One that does not answer must not keep this VM from another that would.
         """
-        if peer in self._asked or len(self._asked) >= MOST_ASKED:
+        if (
+            peer in self._fetch_started_at
+            or len(self._fetch_started_at) >= MAX_CONCURRENT_FETCHES
+        ):
             return True
         now = trio.current_time()
-        return any(now - asked_at < PEER_GRACE_S for asked_at in self._asked.values())
+        return any(
+            now - started_at < PEER_GRACE_S
+            for started_at in self._fetch_started_at.values()
+        )
 
-    def _take_told(self, told: Snapshot | Changes) -> bool:
-        if isinstance(told, Snapshot):
-            return self.replica.take_snapshot(told)
-        return self.replica.take_changes(told)
+    def _apply_fetched(self, fetched: Snapshot | Changes) -> bool:
+        if isinstance(fetched, Snapshot):
+            return self.replica.apply_snapshot(fetched)
+        return self.replica.apply_changes(fetched)
 
     def restart_watch(self):
         """End a watch that waits for what is past."""
-        if self._watching is not None:
-            self._is_overtaken = True
-            self._watching.cancel()
+        if self._watch_scope is not None:
+            self._is_watch_superseded = True
+            self._watch_scope.cancel()
 
-    def list_again(self):
+    def relist(self):
         """Read the whole collection again: its copy may be old or incomplete."""
-        self._must_list = True
+        self._needs_list = True
         self.replica.is_confirmed = False
         self.restart_watch()
--- a/packages/gateway/plantainshed_gateway/settings.py
+++ b/packages/gateway/plantainshed_gateway/settings.py
@@ -128,7 +128,7 @@
         region_of = dict(self._section("failure_domains"))
         failure_domain = self._text("vm", "failure_domain")
         if failure_domain not in region_of:
-            raise self._fault(
+            raise self._error(
                 "vm", "failure_domain", f"{failure_domain!r} is not a failure domain"
             )
         return Settings(
@@ -177,14 +177,14 @@
     def _text(self, section: str, option: str) -> str:
         text = self._section(section).get(option, "").strip()
         if not text:
-            raise self._fault(section, option, "is missing")
+            raise self._error(section, option, "is missing")
         return text
 
     def _address(self, option: str) -> str:
         text = self._section("listen").get(option, "").strip()
         host, _, port = text.rpartition(":")
         if text and not (host and port.isdigit()):
-            raise self._fault("listen", option, f"{text!r} must be IP:PORT")
+            raise self._error("listen", option, f"{text!r} must be IP:PORT")
         return text
 
     def _seeds(self) -> tuple[str, ...]:
@@ -195,15 +195,15 @@
             try:
                 ipaddress.IPv4Address(host)
             except ValueError as error:
-                raise self._fault("peers", "seeds", f"{seed!r}: {error}") from error
+                raise self._error("peers", "seeds", f"{seed!r}: {error}") from error
             if not port.isdigit():
-                raise self._fault("peers", "seeds", f"{seed!r} must be IP:PORT")
+                raise self._error("peers", "seeds", f"{seed!r} must be IP:PORT")
         return seeds
 
     def _window(self, option: str) -> float:
         window_s = self._duration("bounds", option)
         if not window_s:
-            raise self._fault("bounds", option, "must be longer than 0")
+            raise self._error("bounds", option, "must be longer than 0")
         return window_s
 
     def _int(self, section: str, option: str) -> int:
@@ -214,16 +214,16 @@
         try:
             number = float(text)
         except ValueError as error:
-            raise self._fault(section, option, f"{text!r} is no number") from error
+            raise self._error(section, option, f"{text!r} is no number") from error
         if not math.isfinite(number):
-            raise self._fault(section, option, f"{text!r} is no finite number")
+            raise self._error(section, option, f"{text!r} is no finite number")
         return number
 
     def _duration(self, section: str, option: str) -> float:
         try:
             return parse_duration(self._text(section, option))
         except ValueError as error:
-            raise self._fault(section, option, str(error)) from error
+            raise self._error(section, option, str(error)) from error
 
-    def _fault(self, section: str, option: str, problem: str) -> SettingsError:
+    def _error(self, section: str, option: str, problem: str) -> SettingsError:
         return SettingsError(f"{self.path}: [{section}] {option}: {problem}")
--- a/packages/gateway/plantainshed_gateway/state_taker.py
+++ b/packages/gateway/plantainshed_gateway/state_taker.py
@@ -18,10 +18,10 @@
 
 # How long after the store came back targets' entries may still be on their way
 # back; they are written again within two seconds.
-LAPSE_S = 2.2
+REREGISTRATION_S = 2.2
 
 
-class StateTaker:
+class StateApplier:
     """Decodes copies of collections and hands them to the parts that decide.
 
     Parameters
@@ -60,14 +60,14 @@
         """
         self._paused_at = trio.current_time()
 
-    def take(self, collection: Collection):
+    def apply(self, collection: Collection):
         """Put a collection's newest copy in force."""
         if collection is Collection.CONFIGURATION:
-            self._take_configuration()
+            self._apply_configuration()
         elif collection is Collection.TARGETS:
-            self._take_targets()
+            self._apply_targets()
         elif collection is Collection.EVACUATIONS:
-            self._take_evacuations()
+            self._apply_evacuations()
 
     def _decoded(self, collection: Collection, decode) -> list:
         """Return a collection's usable objects, decoded."""
@@ -85,13 +85,13 @@
                 )
         return decoded
 
-    def _take_configuration(self):
+    def _apply_configuration(self):
         decode = self.decoder.configuration
         for configuration in self._decoded(Collection.CONFIGURATION, decode):
             if configuration is not None:
-                self._put_in_force(configuration)
+                self._activate(configuration)
 
-    def _put_in_force(self, configuration: Configuration):
+    def _activate(self, configuration: Configuration):
         known = self.admission.configuration
         if known is not None and configuration.version <= known.version:
             self.log.event(
@@ -119,24 +119,26 @@
             routes=len(routes),
         )
 
-    def _take_targets(self):
+    def _apply_targets(self):
         follower = self.followers[Collection.TARGETS]
         entries = self._decoded(Collection.TARGETS, self.decoder.target)
         before = {name: s.entry for name, s in self.registry.states.items()}
-        has_lost_store = not follower.is_connected and not follower.is_resting
+        has_lost_store = not follower.is_connected and not follower.is_watch_delegated
         if not has_lost_store or self._was_paused():
-            self.registry.update_entries(entries, self._is_just_back(follower))
+            self.registry.update_entries(entries, self._has_just_reconnected(follower))
         else:
             # A peer told it, and may have done so just after an outage for all.
-            self.registry.update_entries(entries, True, told_after_s=PEER_GRACE_S)
+            self.registry.update_entries(
+                entries, True, notification_delay_s=PEER_GRACE_S
+            )
         self._log_targets(before, follower.replica.revision)
 
-    def _is_just_back(self, follower: Follower) -> bool:
-        since_back_s = trio.current_time() - follower.regained_at
-        return since_back_s < LAPSE_S and not self._was_paused()
+    def _has_just_reconnected(self, follower: Follower) -> bool:
+        since_back_s = trio.current_time() - follower.reconnected_at
+        return since_back_s < REREGISTRATION_S and not self._was_paused()
 
     def _was_paused(self) -> bool:
-        return trio.current_time() - self._paused_at < LAPSE_S
+        return trio.current_time() - self._paused_at < REREGISTRATION_S
 
     def _log_targets(self, before: dict[str, TargetEntry], revision: int):
         after = self.registry.states
@@ -157,7 +159,7 @@
                 known=len(after),
             )
 
-    def _take_evacuations(self):
+    def _apply_evacuations(self):
         decode = self.decoder.evacuated_domain
         domains = set(self._decoded(Collection.EVACUATIONS, decode))
         if domains != self.registry.evacuated:
--- a/packages/gateway/plantainshed_gateway/survey.py
+++ b/packages/gateway/plantainshed_gateway/survey.py
@@ -10,7 +10,7 @@
 from .round_trips import RoundTrips
 
 # Pause between connections to a failure domain of unknown distance.
-PAUSE_S = 1.0
+PROBE_INTERVAL_S = 1.0
 
 
 class DistanceProber:
@@ -37,7 +37,7 @@
         self.connections = connections
         self.round_trips = round_trips
         self.log = log
-        self._measured_at: dict[str, float] = {}
+        self._probed_at: dict[str, float] = {}
 
     def measure_unknown(self, nursery: trio.Nursery):
         """Start measuring; what is under way, or failed a moment ago, waits."""
@@ -51,9 +51,9 @@
             domain = state.entry.failure_domain
             if domain not in unknown or state.is_ejected:
                 continue
-            if now - self._measured_at.get(domain, -PAUSE_S) < PAUSE_S:
+            if now - self._probed_at.get(domain, -PROBE_INTERVAL_S) < PROBE_INTERVAL_S:
                 continue
-            self._measured_at[domain] = now
+            self._probed_at[domain] = now
             nursery.start_soon(self._measure, state)
 
     async def _measure(self, state: TargetState):
--- a/tests/gateway/test_copies_under_faults.py
+++ b/tests/gateway/test_copies_under_faults.py
@@ -6,7 +6,7 @@
 import trio
 
 from plantainshed_gateway.errors import HistoryGone, StoreUnavailable
-from plantainshed_gateway.freshness import Freshness
+from plantainshed_gateway.freshness import FreshnessPoller
 from plantainshed_gateway.ports import Change, Changes, Collection, Item, Snapshot
 from plantainshed_gateway.replication import Follower, Replica
 from tests.gateway.gateway_support import NoLog
@@ -123,7 +123,9 @@
         for number, followers in enumerate(self.vms):
             for follower in followers.values():
                 nursery.start_soon(follower.run)
-            freshness = Freshness(followers, self._duty_of(number), f"vm-{number}")
+            freshness = FreshnessPoller(
+                followers, self._duty_of(number), f"vm-{number}"
+            )
             nursery.start_soon(freshness.run, lambda: POLL_S)
             nursery.start_soon(self._hear, followers)
 
@@ -148,7 +150,7 @@
         if chance.random() < 0.2:
             store.oldest = store.revision - chance.randint(0, 4)
         if chance.random() < 0.2:
-            chance.choice(list(chance.choice(self.vms).values())).list_again()
+            chance.choice(list(chance.choice(self.vms).values())).relist()
 
     async def _hear(self, followers: dict[Collection, Follower]):
         while True:
--- a/tests/gateway/test_freshness.py
+++ b/tests/gateway/test_freshness.py
@@ -4,10 +4,10 @@
 import trio
 
 from plantainshed_gateway.errors import HistoryGone, StoreUnavailable
-from plantainshed_gateway.freshness import Freshness, poll_interval_s
+from plantainshed_gateway.freshness import FreshnessPoller, poll_interval_s
 from plantainshed_gateway.heartbeats import VmState
 from plantainshed_gateway.ports import Change, Changes, Collection, Item, Snapshot
-from plantainshed_gateway.replication import LONGEST_RETRY_S, Follower
+from plantainshed_gateway.replication import MAX_RETRY_DELAY_S, Follower
 from plantainshed_gateway.speakers import Speakers
 from tests.gateway.gateway_support import NoLog, make_heartbeat, make_members
 from tests.support import on_mock_clock
@@ -121,8 +121,8 @@
             collection: Follower(store, collection, lambda c: None, self.log)
             for collection in FOLLOWED
         }
-        self.is_on_duty = True
-        self.freshness = Freshness(self.followers, lambda: self.is_on_duty, "vm-0")
+        self.is_poller = True
+        self.freshness = FreshnessPoller(self.followers, lambda: self.is_poller, "vm-0")
 
     def value(self, collection: Collection):
         item = self.followers[collection].replica.items.get("main")
@@ -185,7 +185,7 @@
         async with running_vm() as vm:
             follower, ages_s = vm.followers[Collection.TARGETS], []
             follower.listener = lambda collection: ages_s.append(
-                trio.current_time() - follower.regained_at
+                trio.current_time() - follower.reconnected_at
             )
             vm.store.put(Collection.CONFIGURATION, "last before")
             for collection in FOLLOWED:
@@ -286,13 +286,13 @@
         """Polls kept a store that turns away what is too much busy, ten a second."""
         async with running_vm() as vm:
             vm.store.is_refusing = True
-            await trio.sleep(INTERVAL_S + 2 * LONGEST_RETRY_S)
+            await trio.sleep(INTERVAL_S + 2 * MAX_RETRY_DELAY_S)
             vm.store.polls.clear()
             await trio.sleep(20)
-            self.assertLessEqual(len(vm.store.polls), 20 / LONGEST_RETRY_S)
+            self.assertLessEqual(len(vm.store.polls), 20 / MAX_RETRY_DELAY_S)
             vm.store.is_refusing = False
-            await trio.sleep(LONGEST_RETRY_S + 0.2)
-            self.assertFalse(vm.freshness.is_lost)
+            await trio.sleep(MAX_RETRY_DELAY_S + 0.2)
+            self.assertFalse(vm.freshness.is_store_unreachable)
 
     @on_mock_clock
     async def test_watches_that_are_turned_away_stay_rare_while_polls_are_answered(
@@ -306,7 +306,7 @@
             await trio.sleep(INTERVAL_S)
             vm.store.watches = 0
             await trio.sleep(20)
-            most = 20 / LONGEST_RETRY_S * len(FOLLOWED)
+            most = 20 / MAX_RETRY_DELAY_S * len(FOLLOWED)
             self.assertLessEqual(vm.store.watches, most)
 
     @on_mock_clock
@@ -316,7 +316,7 @@
             vm.store.put(Collection.TARGETS, "first")
             vm.store.is_silent = True
             await trio.sleep(5)
-            vm.is_on_duty = False
+            vm.is_poller = False
             await trio.sleep(2)
             vm.store.is_silent = False
             await trio.sleep(CALL_TIMEOUT_S + 0.5)
@@ -329,7 +329,7 @@
     async def test_vm_off_duty_sends_no_polls(self):
         """Polls of every VM would grow with the fleet."""
         async with running_vm() as vm:
-            vm.is_on_duty = False
+            vm.is_poller = False
             await trio.sleep(INTERVAL_S)
             vm.store.polls.clear()
             await trio.sleep(20)
--- a/tests/gateway/test_state.py
+++ b/tests/gateway/test_state.py
@@ -47,39 +47,39 @@
     @on_mock_clock
     async def test_never_goes_back(self):
         replica = Replica(Collection.TARGETS)
-        replica.take_snapshot(Snapshot((Item("a", 5, "new"),), 9))
-        self.assertFalse(replica.take_snapshot(Snapshot((Item("a", 3, "old"),), 4)))
+        replica.apply_snapshot(Snapshot((Item("a", 5, "new"),), 9))
+        self.assertFalse(replica.apply_snapshot(Snapshot((Item("a", 3, "old"),), 4)))
         old = Changes((Change(Item("a", 3, "old"), False),), 10)
-        replica.take_changes(old)
+        replica.apply_changes(old)
         self.assertEqual(replica.items["a"].value, "new")
 
     @on_mock_clock
     async def test_changes_overtaken_on_their_way_bring_nothing_back(self):
         """A target that had left came back with a peer's older changes."""
         replica = Replica(Collection.TARGETS)
-        replica.take_snapshot(Snapshot((), 7))
+        replica.apply_snapshot(Snapshot((), 7))
         created = Change(Item("a", 8, 1), False)
         deleted = Change(Item("a", 9, 1), True)
-        replica.take_changes(Changes((created, deleted), 9))
-        self.assertFalse(replica.take_changes(Changes((created,), 8)))
+        replica.apply_changes(Changes((created, deleted), 9))
+        self.assertFalse(replica.apply_changes(Changes((created,), 8)))
         self.assertEqual(replica.items, {})
 
     @on_mock_clock
     async def test_change_told_twice_counts_once(self):
         """A poll beside a watch ended that watch and logged a change that was known."""
         replica = Replica(Collection.TARGETS)
-        replica.take_snapshot(Snapshot((Item("a", 5, {}),), 7))
+        replica.apply_snapshot(Snapshot((Item("a", 5, {}),), 7))
         told = Changes((Change(Item("a", 8, {}), True),), 8)
-        self.assertTrue(replica.take_changes(told))
-        self.assertFalse(replica.take_changes(told))
+        self.assertTrue(replica.apply_changes(told))
+        self.assertFalse(replica.apply_changes(told))
         self.assertEqual(len(replica.recent), 1)
 
     @on_mock_clock
     async def test_list_overtaken_by_a_poll_confirms_the_copy(self):
         """A VM that had been paused refused callers though its copy was complete."""
         replica = Replica(Collection.TARGETS, is_confirmed=False)
-        replica.take_changes(Changes((Change(Item("a", 8, {}), False),), 8))
-        replica.take_snapshot(Snapshot((), 7))
+        replica.apply_changes(Changes((Change(Item("a", 8, {}), False),), 8))
+        replica.apply_snapshot(Snapshot((), 7))
         self.assertTrue(replica.is_confirmed)
         self.assertEqual(set(replica.items), {"a"})
 
@@ -91,14 +91,14 @@
         for good.
         """
         replica = Replica(Collection.TARGETS)
-        replica.take_snapshot(Snapshot((Item("a", 5, 1),), 7))
+        replica.apply_snapshot(Snapshot((Item("a", 5, 1),), 7))
         self.assertIsNone(replica.changes_since(7))
-        replica.take_changes(Changes((Change(Item("b", 9, 1), False),), 9))
-        replica.take_changes(Changes((Change(Item("a", 12, 1), True),), 12))
+        replica.apply_changes(Changes((Change(Item("b", 9, 1), False),), 9))
+        replica.apply_changes(Changes((Change(Item("a", 12, 1), True),), 12))
         self.assertIsNone(replica.changes_since(6))
         other = Replica(Collection.TARGETS)
-        other.take_snapshot(Snapshot((Item("a", 5, 1),), 8))
-        other.take_changes(replica.changes_since(8))
+        other.apply_snapshot(Snapshot((Item("a", 5, 1),), 8))
+        other.apply_changes(replica.changes_since(8))
         self.assertEqual(other.items, replica.items)
         self.assertEqual(other.revision, 12)
         self.assertEqual(len(replica.changes_since(9).changes), 1)
@@ -112,8 +112,8 @@
         """
         replica = Replica(Collection.TARGETS)
         items = (Item("a", 5, 1), Item("b", 6, 1))
-        replica.take_snapshot(Snapshot(items, 6))
-        replica.take_snapshot(Snapshot(items[:1], 9))
+        replica.apply_snapshot(Snapshot(items, 6))
+        replica.apply_snapshot(Snapshot(items[:1], 9))
         self.assertEqual(replica.changed_at_revision, 9)
 
 
@@ -147,7 +147,7 @@
     async def test_peer_that_does_not_answer_keeps_no_other_from_being_asked(self):
         """A change known to one peer came late while another peer was asked."""
         follower = Follower(SilentStore(), Collection.TARGETS, lambda c: None, NoLog())
-        follower.replica.take_snapshot(Snapshot((), 7))
+        follower.replica.apply_snapshot(Snapshot((), 7))
         told = Changes((Change(Item("b", 12, "newer"), False),), 12)
 
         async def fetch(peer, collection, after):
@@ -185,7 +185,7 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(follower.run)
             await trio.sleep(0.1)
-            follower.list_again()
+            follower.relist()
             await trio.sleep(0.15)
             self.assertFalse(follower.replica.is_confirmed)
             await trio.sleep(0.2)
@@ -247,7 +247,7 @@
             await trio.sleep(60)
             self.assertEqual(store.watches, 0)
             began_at = trio.current_time()
-            await follower.catch_up("peer", 12, fetch, is_near=True)
+            await follower.catch_up("peer", 12, fetch, is_same_domain=True)
             self.assertEqual(trio.current_time(), began_at)
             self.assertEqual(follower.replica.items["b"].value, "newer")
             covered[0] = False
--- a/tests/gateway/test_state_taker.py
+++ b/tests/gateway/test_state_taker.py
@@ -7,7 +7,7 @@
 from plantainshed_gateway.quota import Quotas
 from plantainshed_gateway.registry import Registry
 from plantainshed_gateway.replication import PEER_GRACE_S, Follower
-from plantainshed_gateway.state_taker import StateTaker
+from plantainshed_gateway.state_taker import StateApplier
 from plantainshed_http.server import ConnectionLimits
 from tests.gateway.gateway_support import (
     BOUNDS,
@@ -37,19 +37,21 @@
         return make_entry(item.name)
 
 
-def make_taker(decoder, follower: Follower, log) -> StateTaker:
+def make_applier(decoder, follower: Follower, log) -> StateApplier:
     quotas = Quotas(make_members(), BOUNDS, make_round_trips())
     followers = {follower.collection: follower}
     admission = Admission(None, quotas, None)
     registry = Registry({})
-    return StateTaker(decoder, followers, admission, registry, ConnectionLimits(), log)
+    return StateApplier(
+        decoder, followers, admission, registry, ConnectionLimits(), log
+    )
 
 
-def take_targets(taker: StateTaker, revision: int, *names: str):
+def apply_targets(applier: StateApplier, revision: int, *names: str):
     items = tuple(Item(name, 5, None) for name in names)
-    replica = taker.followers[Collection.TARGETS].replica
-    replica.take_snapshot(Snapshot(items, revision))
-    taker.take(Collection.TARGETS)
+    replica = applier.followers[Collection.TARGETS].replica
+    replica.apply_snapshot(Snapshot(items, revision))
+    applier.apply(Collection.TARGETS)
 
 
 class TestStateTaker(unittest.TestCase):
@@ -58,12 +60,12 @@
         """A refused configuration looked like one that never came."""
         log = NoLog()
         follower = Follower(None, Collection.CONFIGURATION, lambda c: None, log)
-        taker = make_taker(VersionDecoder(), follower, log)
+        applier = make_applier(VersionDecoder(), follower, log)
         for revision, version in ((5, 9), (6, 8)):
             items = (Item("main", revision, version),)
-            follower.replica.take_snapshot(Snapshot(items, revision))
-            taker.take(Collection.CONFIGURATION)
-        self.assertEqual(taker.admission.configuration.version, 9)
+            follower.replica.apply_snapshot(Snapshot(items, revision))
+            applier.apply(Collection.CONFIGURATION)
+        self.assertEqual(applier.admission.configuration.version, 9)
         name, fields = log.events[-1]
         self.assertEqual(name, "configuration not newer")
         self.assertEqual((fields["version"], fields["version_in_force"]), (8, 9))
@@ -73,37 +75,37 @@
         """A VM dropped living targets that a peer told it of before the store did."""
         log = NoLog()
         follower = Follower(None, Collection.TARGETS, lambda c: None, log)
-        taker = make_taker(NameDecoder(), follower, log)
-        follower.note_regained()
-        follower.note_lost("no answer")
-        take_targets(taker, 5, "i-0", "i-1")
-        take_targets(taker, 6, "i-1")
-        self.assertEqual(len(taker.registry.usable("calendario", frozenset())), 2)
+        applier = make_applier(NameDecoder(), follower, log)
+        follower.mark_connected()
+        follower.mark_disconnected("no answer")
+        apply_targets(applier, 5, "i-0", "i-1")
+        apply_targets(applier, 6, "i-1")
+        self.assertEqual(len(applier.registry.usable("calendario", frozenset())), 2)
         await trio.sleep(2.0 - PEER_GRACE_S - ANSWERS_S)
-        self.assertEqual(len(taker.registry.usable("calendario", frozenset())), 1)
+        self.assertEqual(len(applier.registry.usable("calendario", frozenset())), 1)
 
     @on_mock_clock
     async def test_target_that_left_during_a_pause_gets_nothing_after_it(self):
         """A VM that woke sent requests to a target that had left for 1.8 s more."""
         log = NoLog()
         follower = Follower(None, Collection.TARGETS, lambda c: None, log)
-        taker = make_taker(NameDecoder(), follower, log)
-        follower.note_regained()
-        take_targets(taker, 5, "i-0", "i-1")
-        follower.note_lost("the watch went silent")
-        taker.note_pause()
-        follower.note_regained()
-        take_targets(taker, 6, "i-1")
-        self.assertEqual(len(taker.registry.usable("calendario", frozenset())), 1)
+        applier = make_applier(NameDecoder(), follower, log)
+        follower.mark_connected()
+        apply_targets(applier, 5, "i-0", "i-1")
+        follower.mark_disconnected("the watch went silent")
+        applier.note_pause()
+        follower.mark_connected()
+        apply_targets(applier, 6, "i-1")
+        self.assertEqual(len(applier.registry.usable("calendario", frozenset())), 1)
 
     @on_mock_clock
     async def test_vm_that_leaves_watching_to_others_believes_them_at_once(self):
         """A VM whose last own watch went silent kept each target that had left."""
         follower = Follower(None, Collection.TARGETS, lambda c: None, NoLog())
-        taker = make_taker(NameDecoder(), follower, NoLog())
-        follower.note_regained()
-        take_targets(taker, 5, "i-0", "i-1")
-        follower.note_lost("the watch went silent")
-        follower.is_resting = True
-        take_targets(taker, 6, "i-1")
-        self.assertEqual(len(taker.registry.usable("calendario", frozenset())), 1)
+        applier = make_applier(NameDecoder(), follower, NoLog())
+        follower.mark_connected()
+        apply_targets(applier, 5, "i-0", "i-1")
+        follower.mark_disconnected("the watch went silent")
+        follower.is_watch_delegated = True
+        apply_targets(applier, 6, "i-1")
+        self.assertEqual(len(applier.registry.usable("calendario", frozenset())), 1)
