--- a/packages/gateway/plantainshed_gateway/registry.py
+++ b/packages/gateway/plantainshed_gateway/registry.py
@@ -1,4 +1,4 @@
-"""The targets that registered themselves, and what this VM learned of them."""
+"""Registry of targets and this VM's view of their health and load."""
 
 from math import inf
 
@@ -10,37 +10,39 @@
 from .model import Configuration
 from .ports import TargetEntry, TargetLoad
 
-# How long an entry that lapsed with many others still names a target. After an
-# outage of the store entries are written again within 2 s if the target lives;
-# a target that did leave serves on for as long.
+# How long a target stays in use after its entry expired together with many
+# others. After an outage of the store, live targets write their entries again
+# within 2 s, and a target that really leaves keeps serving for that long.
 EXPIRY_GRACE_S = 1.8
-# Entries of a pool, as a part and a number, that must vanish together without
-# having said that they leave, to count as lapsed. Targets are replaced and
-# crash one or a few at a time.
+# Entries of a pool that must disappear at once, as a fraction of the pool and as
+# a number, before they count as expired rather than removed. Entries that were
+# marked as leaving are not counted. Targets are replaced and crash one or a few
+# at a time, so a larger loss points to the store.
 MASS_EXPIRY_FRACTION = 0.34
 MASS_EXPIRY_MIN_TARGETS = 3
-# Failures in a row after which a target gets nothing for a while, and for how
-# long at first. One failure can be a single lost answer.
+# Consecutive failures after which a target is ejected, and the length of the
+# first ejection. One failure may be a single lost response.
 FAILURES_TO_EJECT = 3
 INITIAL_EJECTION_S = 1.0
 MAX_EJECTION_S = 8.0
-# How long a target that refused a connection, or turned out to be another
-# instance, gets nothing. Its entry is gone within a few heartbeats of 1.5 s.
+# How long a target is ejected after it refused a connection or another instance
+# answered at its address. Its entry is removed within a few heartbeats of 1.5 s.
 UNREACHABLE_EJECTION_S = 1.5
-# How long a target's own report of its load is used.
+# Maximum age of a target's load report.
 LOAD_MAX_AGE_S = 1.0
-# Time in which the share of objects of a new target grows to its full size,
-# so that under 15 % of a region's requests move to another region in 2 s.
+# Time in which a new target's share of objects grows to its full size. The ramp
+# keeps the requests that move to another region within 2 s below 15 % of a
+# region's requests.
 RAMP_S = 10.0
 RAMP_STEPS = 10
-# Most of a pool that may be out because requests failed there; when more seem
-# broken, the fault is more likely elsewhere.
+# Largest fraction of a pool that may be ejected. If more targets seem to fail,
+# the fault is more likely elsewhere.
 MAX_EJECTED_FRACTION = 0.5
 
 
 @define(eq=False)
 class TargetState:
-    """One target as this VM sees it.
+    """State of one target as seen by this VM.
 
     Attributes
     ----------
@@ -50,13 +52,15 @@
     ramp_from : float
         When its share of objects began to grow.
     in_flight : int
-        Requests that this VM has there.
+        Requests from this VM that are in flight to the target.
     load, load_at, in_flight_at_load
-        What the target said of its load, when, and this VM's own part then.
+        The target's last load report, when it arrived, and `in_flight` at that time.
     failures, ejections : int
-        Failures in a row; how often it was ejected lately.
+        Consecutive failures, and ejections since the last success.
     ejected_until : float
-        Until when it gets nothing.
+        When the current ejection ends.
+    expired_at : float or None
+        When the entry expired, if it is still missing.
     """
 
     entry: TargetEntry
@@ -73,40 +77,40 @@
 
     @property
     def is_cold(self) -> bool:
-        """Whether it is still warming up."""
+        """Whether the target is still warming up."""
         return self.cold_until > trio.current_time()
 
     @property
     def grace_ends_at(self) -> float:
-        """When it gets nothing more, if its entry does not come back."""
+        """When the target is dropped unless its entry is written again."""
         return inf if self.expired_at is None else self.expired_at + EXPIRY_GRACE_S
 
     @property
     def is_ejected(self) -> bool:
-        """Whether it gets nothing for a while."""
+        """Whether the target is ejected and receives no requests."""
         return self.ejected_until > trio.current_time()
 
     @property
     def weight(self) -> float:
-        """Its share of objects beside other targets, from 0.1 to 1."""
+        """Weight in the distribution of objects over targets, from 0.1 to 1."""
         ramped = min(1.0, (trio.current_time() - self.ramp_from) / RAMP_S)
         return min(1.0, (1 + int(ramped * RAMP_STEPS)) / RAMP_STEPS)
 
     @property
     def occupancy(self) -> float:
-        """Requests there, running or waiting, for each of its slots."""
+        """Expected running and waiting requests per slot."""
         return self.expected_load / max(1, self.entry.slots)
 
     @property
     def expected_load(self) -> float:
-        """Requests there: what it said last, and what changed here since."""
+        """Last reported requests, corrected by this VM's change since the report."""
         if trio.current_time() - self.load_at > LOAD_MAX_AGE_S or self.load is None:
             return float(self.in_flight)
         reported = self.load.running + self.load.waiting
         return max(self.in_flight, reported + self.in_flight - self.in_flight_at_load)
 
     def note_load(self, load: TargetLoad | None):
-        """Take in what it says of its load."""
+        """Record a load report of the target."""
         if load is None:
             return
         self.load = load
@@ -114,17 +118,17 @@
         self.in_flight_at_load = self.in_flight
 
     def note_cold(self, seconds: float):
-        """Take in how long it says that it stays cold."""
+        """Extend the warm-up to the remaining time that the target reports."""
         if seconds > 0:
             self.cold_until = max(self.cold_until, trio.current_time() + seconds)
 
     def note_success(self):
-        """Note that it answered a request in full."""
+        """Reset the failure counters after a complete response."""
         self.failures = 0
         self.ejections = 0
 
     def note_failure(self):
-        """Note that a request found it broken."""
+        """Count a failed request, and eject the target after several in a row."""
         self.failures += 1
         if self.failures < FAILURES_TO_EJECT:
             return
@@ -134,7 +138,7 @@
         self.failures = 0
 
     def note_unreachable(self):
-        """Note that it accepts no connection, or is another instance now."""
+        """Eject a target that refuses connections or is now another instance."""
         self.ejected_until = max(
             self.ejected_until, trio.current_time() + UNREACHABLE_EJECTION_S
         )
@@ -146,9 +150,9 @@
     Attributes
     ----------
     region_of : dict of str to str
-        By failure domain.
+        Region of each failure domain.
     evacuated : set of str
-        Failure domains whose targets get nothing.
+        Failure domains whose targets receive no requests.
     """
 
     def __init__(self, region_of: dict[str, str]):
@@ -159,7 +163,7 @@
         self.generation = 0
         self._by_pool: dict[str, list[TargetState]] = {}
         self._is_first_update = True
-        # Until when some target's share of objects grows.
+        # When the last target's share of objects stops growing.
         self.ramps_until = float("-inf")
         self._next_grace_end = inf
 
@@ -169,17 +173,19 @@
         may_have_expired: bool,
         notification_delay_s: float = 0.0,
     ):
-        """Take over the registered targets.
+        """Replace the registered targets.
 
         Parameters
         ----------
         entries : list of TargetEntry
         may_have_expired : bool
-            Whether the store has just come back from an outage. Entries that
-            ran out meanwhile are then missing though their targets live, and
-            dropping them at once would leave pools empty for two seconds.
+            Whether the store has just recovered from an outage. Entries that
+            expired during the outage are then missing although their targets are
+            alive, and dropping them at once would leave pools empty for two
+            seconds.
         notification_delay_s : float
-            How much later than the store said so this VM may hear what vanished.
+            Maximum delay between the removal of an entry in the store and this
+            call.
         """
         named = {entry.instance: entry for entry in entries}
         states = {
@@ -205,7 +211,7 @@
         self._rebuild_pools()
 
     def _is_mass_expiry(self, state: TargetState, vanished: list[TargetState]) -> bool:
-        """Tell whether so much of a pool vanished that its entries lapsed."""
+        """Return whether enough of a pool disappeared to assume expired entries."""
         pool = state.entry.pool
         gone = sum(1 for other in vanished if other.entry.pool == pool)
         known = sum(1 for other in self.states.values() if other.entry.pool == pool)
@@ -224,7 +230,7 @@
     def _new_state(self, entry: TargetEntry) -> TargetState:
         state = TargetState(entry)
         if not self._is_first_update:
-            # It joined while this VM was looking on, so it has just started.
+            # The target registered while this VM was running, so it is new.
             self._begin_ramp(state)
         return state
 
@@ -234,7 +240,7 @@
         self.ramps_until = state.ramp_from + RAMP_S
 
     def drop_expired(self):
-        """Forget targets whose entry did not come back after an outage."""
+        """Drop targets whose entries were not written again after an outage."""
         gone = [
             instance
             for instance, state in self.states.items()
@@ -246,15 +252,15 @@
             self._rebuild_pools()
 
     def update_configuration(self, configuration: Configuration):
-        """Take over the pools of a new configuration."""
+        """Use the pools of a new configuration."""
         self.configuration = configuration
         self._rebuild_pools()
 
     def update_evacuated(self, failure_domains: frozenset[str]):
-        """Take over which failure domains get nothing.
+        """Set the evacuated failure domains.
 
-        The targets of one that is taken back can have lost their caches and
-        bear little at first.
+        When the evacuation of a failure domain ends, its targets may have lost
+        their caches and can handle only little load, so they warm up again.
         """
         for state in self.states.values():
             domain = state.entry.failure_domain
@@ -279,7 +285,7 @@
             self._by_pool.setdefault(entry.pool, []).append(state)
 
     def eligible(self, pool: str, home_regions: frozenset[str]) -> list[TargetState]:
-        """Return the targets of a pool that may get new work, sound or not."""
+        """Return the targets of a pool that may get new work, ejected or not."""
         if trio.current_time() >= self._next_grace_end:
             self.drop_expired()
         states = self._by_pool.get(pool, [])
@@ -294,8 +300,8 @@
     def usable(self, pool: str, home_regions: frozenset[str]) -> list[TargetState]:
         """Return the targets of a pool to use now.
 
-        A false alarm must not empty a pool: when over half of it is out, all
-        of it is used.
+        If more than half of the pool is ejected, all of its targets are returned,
+        so that false failure detections cannot empty a pool.
         """
         eligible = self.eligible(pool, home_regions)
         healthy = [state for state in eligible if not state.is_ejected]
@@ -305,16 +311,16 @@
 
 
 def vms_for_cold_target(instance: str, vms: list[str], most: int) -> list[str]:
-    """Return the VMs that may send to a cold target, the same on all of them.
+    """Return the VMs that may send to a cold target; all VMs compute the same list.
 
-    Its bound holds for all VMs together. Were each VM to use an even part, a
-    part would be under one request a second on a large fleet.
+    The rate limit of a cold target applies to all VMs together. Splitting it evenly
+    would leave each VM less than one request a second in a large fleet.
     """
     return rendezvous_order(instance, vms)[: max(1, most)]
 
 
 def _is_restart(known: TargetEntry, entry: TargetEntry) -> bool:
-    """Tell whether a target has started again under the name that it had."""
+    """Return whether a target restarted under the same instance name."""
     return (
         known.started_ms != entry.started_ms
         or known.address != entry.address
--- a/packages/gateway/plantainshed_gateway/replication.py
+++ b/packages/gateway/plantainshed_gateway/replication.py
@@ -1,11 +1,11 @@
-"""Keeping a copy of a collection of the store, from the store or from peers.
-
-`Follower.run` lists a collection once. Then a few VMs of each failure domain
-wait for changes at the store, and the others take them from these: each watch is
-a call that has its price, and the store's rates grow more slowly than the fleet.
-While the store turns a VM away, other VMs may still be served: heartbeats and news
-name the newest change that a VM knows, and `catch_up` brings this one up to it.
-A copy never goes back to an older revision.
+"""Replicates the store's collections from the store or from peers.
+
+`Follower.run` lists a collection once. After that, a few VMs of each failure domain
+watch the store and the other VMs fetch the changes from them: each watch costs a
+call, and the store's rate limits grow more slowly than the fleet. The store may
+reject one VM while it still serves others. Heartbeats and domain news therefore
+carry the newest revision that a VM knows, and `catch_up` fetches up to that revision
+from a peer. A replica never returns to an older revision.
 """
 
 from collections import deque
@@ -18,35 +18,35 @@
 from .logs import DecisionLog
 from .ports import Changes, Collection, Item, Snapshot, Store
 
-# First and longest pause between calls to a store that does not answer. It is
-# back within the time in which a configuration must be in force, 2 s.
+# Initial and maximum delay between retries of failed calls to the store. The
+# maximum is below the 2 s in which a configuration must be in force.
 INITIAL_RETRY_DELAY_S = 0.1
 MAX_RETRY_DELAY_S = 0.8
-# How long one watch waits for a change, and how much longer its answer may
+# How long one watch waits for a change, and how much longer its response may
 # take before the watch counts as dead. Polls (`freshness`) and peers
-# (`PEER_GRACE_S`) notice a dead one sooner; this bounds it without them.
+# (`PEER_GRACE_S`) usually detect a dead watch earlier; this is the upper bound.
 WATCH_TIMEOUT_S = 20.0
 WATCH_MARGIN_S = 2.0
-# Pause after a change before the next watch. Changes come in clumps, and each
-# watch is a call that has its price; it is short beside the 2 s in which a
-# change must be in force.
+# Pause after a change before the next watch. Changes come in bursts and each
+# watch costs a call. The pause is short compared with the 2 s in which a change
+# must be in force.
 COALESCE_S = 0.2
-# How long a watch may lag behind a peer's before the peer is asked: longer
-# than a watch's answer takes between regions (about 30 ms), and short beside
-# the 2 s in which a change must be in force.
+# How long the own watch may lag behind a peer before this VM fetches from the
+# peer: longer than a watch response takes between regions (about 30 ms), and
+# short compared with the 2 s in which a change must be in force.
 PEER_GRACE_S = 0.25
-# The same for a VM that has its changes from its failure domain's speakers. News
-# of other domains comes half a second after theirs; what is missing then was not
-# not told by them.
+# The same grace period for a VM that gets changes from the speakers of its failure
+# domain. News of other domains arrives half a second after theirs, so a change
+# that is still missing then did not come from the speakers.
 DELEGATED_GRACE_S = 0.5
-# Peers that are asked for one collection at a time.
+# Maximum number of peers from which one collection is fetched at the same time.
 MAX_CONCURRENT_FETCHES = 2
-# Time after a start in which the VMs of the own failure domain are heard, and it
-# is known whether others watch the store.
+# Time after startup in which heartbeats of the own failure domain arrive and show
+# whether other VMs watch the store.
 HEARTBEAT_WAIT_S = 1.0
-# How often a VM that leaves watching to others looks whether they still do.
+# How often a VM that relies on other VMs' watches checks that they still watch.
 DELEGATION_CHECK_S = 0.25
-# Batches of changes that are kept for others; some minutes of usual changes.
+# Batches of changes kept for peers; a few minutes of usual changes.
 MAX_KEPT_BATCHES = 64
 
 Listener = Callable[[Collection], None]
@@ -56,22 +56,21 @@
 
 @define
 class Replica:
-    """A copy of one collection.
+    """A local copy of one collection.
 
     Attributes
     ----------
     items : dict of str to Item
     revision : int
-        Up to which revision of the store the copy is complete; 0 before the
-        first.
+        Store revision up to which the copy is complete; 0 before the first list.
     changed_at_revision : int
-        Revision of the newest change that is known.
+        Revision of the newest known change.
     confirmed_at : float
-        When the store, or a peer, last confirmed it.
+        When the store or a peer last confirmed the copy.
     is_confirmed : bool
-        False after a pause of this process, until it is read again.
+        False after a pause of this process until the collection is listed again.
     recent : deque of (int, Changes)
-        The last changes, each with the revision that the copy had before.
+        The last batches of changes, each with the replica's revision before it.
     """
 
     collection: Collection
@@ -86,23 +85,22 @@
 
     @property
     def is_initialized(self) -> bool:
-        """Whether any state has ever been taken."""
+        """Whether the replica has ever received any state."""
         return self.revision > 0
 
     def apply_snapshot(self, snapshot: Snapshot) -> bool:
-        """Replace the copy by a newer one; tell whether anything changed."""
-        # An overtaken one too: the copy is complete beyond what was read.
+        """Replace the copy by a newer snapshot; return whether anything changed."""
+        # This also holds for an older snapshot: the copy is complete beyond it.
         self.is_confirmed = True
         if snapshot.revision < self.revision:
             return False
         items = {item.name: item for item in snapshot.items}
         changed = items != self.items or not self.is_initialized
         if set(self.items) - set(items):
-            # A deletion has no revision of its own that a list would show.
+            # A list does not show the revision of a deletion.
             self.changed_at_revision = snapshot.revision
-        # At least one, also for a collection that never had an object: a VM
-        # that starts while the store is away has nothing, and could otherwise
-        # not tell that another VM has a whole, empty copy.
+        # The default of 1 marks a complete but empty copy. Without it, a VM that
+        # starts during a store outage could not detect that a peer has one.
         newest = max((item.revision for item in items.values()), default=1)
         self.changed_at_revision = max(self.changed_at_revision, newest)
         self.items = items
@@ -114,7 +112,7 @@
     def apply_changes(self, changes: Changes) -> bool:
         """Apply the changes of a watch, poll or peer; return whether any applied."""
         if changes.revision < self.revision:
-            # Overtaken on its way: an object deleted since would come back.
+            # Outdated in transit: applying it could restore a deleted object.
             return False
         self.confirmed_at = trio.current_time()
         if changes.revision == self.revision:
@@ -137,12 +135,12 @@
         return changed
 
     def mark_complete(self, revision: int):
-        """Note that nothing of this collection changed up to a revision."""
+        """Record that the collection has no further changes up to a revision."""
         self.revision = max(self.revision, revision)
         self.confirmed_at = trio.current_time()
 
     def changes_since(self, revision: int) -> Changes | None:
-        """Return what changed after a revision, None if that is not kept."""
+        """Return the changes after a revision, or None if they are no longer kept."""
         if not self.recent or revision < self.recent[0][0]:
             return None
         changes = [
@@ -155,17 +153,18 @@
 
 
 class Follower:
-    """Follows one collection.
+    """Keeps the replica of one collection up to date.
 
     Parameters
     ----------
     store : Store
     collection : Collection
     listener : callable
-        Called after each change of the copy.
+        Called after each change of the replica.
     log : DecisionLog
     is_watched_by_others : callable, optional
-        Tells whether other VMs watch the store for this one. Without it none do.
+        Returns whether other VMs watch the store for this one. If it is omitted,
+        this VM always watches the store itself.
     """
 
     def __init__(
@@ -191,11 +190,11 @@
         self._has_waited_for_heartbeats = False
         self._watch_scope: trio.CancelScope | None = None
         self._is_watch_superseded = False
-        # Peers that are being asked, and when each is, or was, sent the question.
+        # Peers with a pending fetch, and when each request is or was sent.
         self._fetch_started_at: dict[str, float] = {}
 
     async def run(self):
-        """Follow the collection until cancelled."""
+        """List the collection and follow its changes until cancelled."""
         while True:
             try:
                 while self._needs_list:
@@ -226,20 +225,21 @@
         self._retry_delay_s = INITIAL_RETRY_DELAY_S
         self.mark_connected()
         is_changed = self.replica.apply_snapshot(snapshot)
-        # Not if this process was paused meanwhile: the answer can be from before.
+        # If the process was paused during the call, the response may predate the
+        # pause and does not confirm the copy.
         self.replica.is_confirmed = not self._needs_list
         if is_changed:
             self.listener(self.collection)
 
     async def _wait_for_heartbeats(self):
-        """Give the first heartbeats time to tell whether others watch."""
+        """Wait for the first heartbeats, which show whether other VMs watch."""
         self._has_waited_for_heartbeats = True
         with trio.move_on_after(HEARTBEAT_WAIT_S):
             while not self._is_watched_by_others() and not self._needs_list:
                 await trio.sleep(DELEGATION_CHECK_S)
 
     async def _delegate_watch(self):
-        """Leave watching to other VMs for as long as they do."""
+        """Rely on other VMs' watches while they watch the store."""
         self.is_watch_delegated = True
         self.log.event("store watched by others", collection=self.collection)
         while self._is_watched_by_others() and not self._needs_list:
@@ -266,7 +266,7 @@
             await trio.sleep(COALESCE_S)
 
     async def poll(self) -> int:
-        """Take what the store knows and this copy lacks; return the store's revision.
+        """Fetch missing changes from the store without waiting; return its revision.
 
         Raises `StoreUnavailable` or `HistoryGone`.
         """
@@ -285,7 +285,7 @@
         return changes.revision
 
     def mark_connected(self):
-        """Note that the store answers this VM."""
+        """Record that the store answers this VM."""
         if self.is_connected:
             return
         self.is_connected = True
@@ -300,7 +300,7 @@
         self.disconnected_at = None
 
     def mark_disconnected(self, problem: str):
-        """Note that the store does not answer this VM."""
+        """Record that the store does not answer this VM."""
         if self.disconnected_at is None:
             self.disconnected_at = trio.current_time()
             self.log.event(
@@ -319,12 +319,12 @@
     async def catch_up(
         self, peer: str, newest: int, fetch: FetchFromPeer, is_same_domain: bool = False
     ):
-        """Take the copy of a peer that knows a newer change than this VM.
+        """Fetch the state of a peer that knows a newer change than this VM.
 
-        A watch can go silent, or the store can turn this VM away and tell the
-        others: callers here would meet old routes, old keys and targets that
-        have left, for as long as that lasts. What a peer knows came from the
-        store, so taking it is as good as having heard it.
+        A watch can stop responding, or the store can reject this VM while it serves
+        others. Until that ends, this VM would use outdated routes, keys and targets.
+        A peer's state comes from the store, so it is as valid as the store's own
+        response.
         """
         if self._must_wait_to_fetch(peer) or self.replica.revision >= newest:
             return
@@ -354,9 +354,10 @@
             del self._fetch_started_at[peer]
 
     def _must_wait_to_fetch(self, peer: str) -> bool:
-        """Tell whether to wait for those asked before this peer is asked too.
+        """Return whether pending fetches must be awaited before asking this peer.
 
-        One that does not answer must not keep this VM from another that would.
+        After `PEER_GRACE_S`, one unresponsive peer no longer prevents a fetch from
+        another.
         """
         if (
             peer in self._fetch_started_at
@@ -375,13 +376,13 @@
         return self.replica.apply_changes(fetched)
 
     def restart_watch(self):
-        """End a watch that waits for what is past."""
+        """Cancel the current watch so that a new one starts at the newest revision."""
         if self._watch_scope is not None:
             self._is_watch_superseded = True
             self._watch_scope.cancel()
 
     def relist(self):
-        """Read the whole collection again: its copy may be old or incomplete."""
+        """Request a full list because the copy may be outdated or incomplete."""
         self._needs_list = True
         self.replica.is_confirmed = False
         self.restart_watch()
--- a/packages/gateway/plantainshed_gateway/state_taker.py
+++ b/packages/gateway/plantainshed_gateway/state_taker.py
@@ -1,7 +1,7 @@
-"""Puts what the store's collections say in force: routes, targets, evacuations.
+"""Applies the store's collections: configuration, targets and evacuations.
 
-An object that cannot be read changes nothing: a log line names its field, and
-what was in force goes on.
+An object that cannot be decoded is skipped and logged with the invalid field; the
+state that was in force before stays in force.
 """
 
 import trio
@@ -16,13 +16,13 @@
 from .registry import Registry
 from .replication import PEER_GRACE_S, Follower
 
-# How long after the store came back targets' entries may still be on their way
-# back; they are written again within two seconds.
+# How long after a store outage expired entries of live targets may still be
+# missing; targets write them again within two seconds.
 REREGISTRATION_S = 2.2
 
 
 class StateApplier:
-    """Decodes copies of collections and hands them to the parts that decide.
+    """Decodes replicas and updates admission, the registry and connection limits.
 
     Parameters
     ----------
@@ -31,7 +31,7 @@
     admission : Admission
     registry : Registry
     limits : ConnectionLimits
-        Of callers' connections; set as the configuration says.
+        Limits of callers' connections; updated from the configuration.
     log : DecisionLog
     """
 
@@ -53,15 +53,16 @@
         self._paused_at = float("-inf")
 
     def note_pause(self):
-        """Note that this process stood still until now.
+        """Record that this process was paused until now.
 
-        Then what vanished from the store can have left long ago, also if a call
-        that ran into its time meanwhile makes the store look lost and regained.
+        Entries that are missing after a pause may have been removed long ago. A
+        store call that timed out during the pause makes it look like a store
+        outage, so the grace period for expired entries does not apply.
         """
         self._paused_at = trio.current_time()
 
     def apply(self, collection: Collection):
-        """Put a collection's newest copy in force."""
+        """Apply the newest replica of a collection."""
         if collection is Collection.CONFIGURATION:
             self._apply_configuration()
         elif collection is Collection.TARGETS:
@@ -70,7 +71,7 @@
             self._apply_evacuations()
 
     def _decoded(self, collection: Collection, decode) -> list:
-        """Return a collection's usable objects, decoded."""
+        """Return the decoded valid objects of a collection."""
         decoded = []
         for item in self.followers[collection].replica.items.values():
             try:
@@ -127,7 +128,8 @@
         if not has_lost_store or self._was_paused():
             self.registry.update_entries(entries, self._has_just_reconnected(follower))
         else:
-            # A peer told it, and may have done so just after an outage for all.
+            # The change came from a peer, possibly right after a store outage that
+            # affected all VMs.
             self.registry.update_entries(
                 entries, True, notification_delay_s=PEER_GRACE_S
             )
