--- a/packages/gateway/plantainshed_gateway/freshness.py
+++ b/packages/gateway/plantainshed_gateway/freshness.py
@@ -1,13 +1,14 @@
-"""Asking the store whether copies are complete, while watches wait for changes.
+"""Polls the store to detect changes that the watches missed.
 
-A watch that waits for a change looks like one that the store never took up, whose
-answer was lost, or whose connection went silent. A poll is answered at once, so its
-answer, or none, tells them apart. One VM of each failure domain polls; what it finds
-reaches the others as every change does.
+A watch that waits for a change cannot be distinguished from one that the store never
+accepted, whose response was lost, or whose connection is dead. The store answers a
+poll immediately, so the presence or absence of a response shows the difference. One
+VM of each failure domain polls; the changes that it finds reach the other VMs in the
+same way as all others.
 
-The store has one revision for all collections. A poll of one collection names the
-newest; as long as each revision up to it is a change that this VM knows, the other
-collections need no poll.
+The store has one revision counter for all collections, and a poll of one collection
+returns the newest revision. If this VM knows a change for every revision up to it,
+the other collections need no poll.
 """
 
 from collections.abc import Callable
@@ -26,15 +27,16 @@
     Follower,
 )
 
-# What is left of the time in which a change must be in force once a poll is due:
-# the poll's answer, and other VMs that wait for `PEER_GRACE_S` and fetch the change.
+# Time reserved after a poll to bring a change into force on all VMs: it covers the
+# poll's response and the other VMs, which wait for `PEER_GRACE_S` and then fetch
+# the change.
 PROPAGATION_S = 2 * PEER_GRACE_S
 
 IsPoller = Callable[[], bool]
 
 
 def poll_interval_s(in_force_within_s: float) -> float:
-    """Return the pause between polls that leaves time to tell other VMs.
+    """Return the poll interval that leaves time to propagate changes to other VMs.
 
     Parameters
     ----------
@@ -45,22 +47,23 @@
 
 
 class FreshnessPoller:
-    """Polls the store for what this VM's watches may have missed.
+    """Polls the store for changes that this VM's watches may have missed.
 
     Parameters
     ----------
     followers : dict of Collection to Follower
     is_poller : callable
-        Tells whether this VM is the one of its failure domain that polls.
+        Returns whether this VM is the one that polls for its failure domain.
     vm : str
-        Spreads the polls of failure domains that start together.
+        Name of this VM; determines the offset of its first poll, so that failure
+        domains that start together do not poll at the same time.
 
     Attributes
     ----------
     confirmed_revision : int
-        Revision of the store up to which all copies were found complete.
+        Store revision up to which all replicas were confirmed complete.
     is_store_unreachable : bool
-        Whether the last poll was not answered.
+        Whether the last poll failed.
     """
 
     def __init__(
@@ -86,8 +89,9 @@
             await trio.sleep(self._pause_s(began_at, interval_s()))
 
     def _can_poll(self) -> bool:
-        # Off duty too, a lost store is polled until it answers: watches that were
-        # sent into its silence are sent again then.
+        # If the last poll failed, this VM polls until the store answers, even if
+        # another VM is the poller by then: watches that were sent during the outage
+        # are restarted at that point.
         copies = [follower.replica for follower in self.followers.values()]
         is_wanted = self.is_store_unreachable or self.is_poller()
         return is_wanted and all(copy.is_initialized for copy in copies)
@@ -96,15 +100,16 @@
         if not self.is_store_unreachable:
             self._retry_delay_s = INITIAL_RETRY_DELAY_S
             return interval_s
-        # An unanswered poll has taken its time already; one that was turned away
-        # at once has not, and the store may be turning away what is too much.
+        # A poll that timed out has already used up its delay. A poll that was
+        # rejected immediately has not, and the store may be rejecting it because
+        # of overload, so the backoff applies.
         took_s = trio.current_time() - began_at
         pause_s = max(INITIAL_RETRY_DELAY_S, self._retry_delay_s - took_s)
         self._retry_delay_s = min(MAX_RETRY_DELAY_S, 2 * self._retry_delay_s)
         return pause_s
 
     async def check(self):
-        """Find out whether the copies are complete, and complete them."""
+        """Poll once: fetch missing changes and confirm complete replicas."""
         try:
             newest = await self._newest_confirmed()
         except StoreUnavailable as error:
@@ -117,7 +122,7 @@
             self._mark_complete(newest)
 
     async def _newest_confirmed(self) -> int:
-        """Return a revision up to which all copies are complete now."""
+        """Return a revision up to which all replicas are complete now."""
         newest = await self.followers[Collection.CONFIGURATION].poll()
         if self.is_store_unreachable or not self._knows_all_up_to(newest):
             await self._poll_others()
@@ -125,8 +130,8 @@
         return newest
 
     def _lowest_revision(self) -> int:
-        # A part of the store that lags can answer one poll with an older revision
-        # than it answered another.
+        # A lagging replica of the store can answer one poll with an older revision
+        # than another poll got.
         return min(f.replica.revision for f in self.followers.values())
 
     async def _poll_others(self):
@@ -155,7 +160,7 @@
         for follower in self.followers.values():
             follower.mark_connected()
             if self.is_store_unreachable:
-                # Sent into the silence, it may never be answered.
+                # A watch sent during the outage may never be answered.
                 follower.restart_watch()
         self.is_store_unreachable = False
 
--- a/packages/gateway/plantainshed_gateway/model.py
+++ b/packages/gateway/plantainshed_gateway/model.py
@@ -1,6 +1,6 @@
-"""What operators configure: routes, pools, workspaces and limits.
+"""Data model of the configuration: routes, pools, workspaces and limits.
 
-All of it is immutable. A new version is a new `Configuration`.
+All classes are immutable. Each new version is a new `Configuration`.
 """
 
 from enum import StrEnum
@@ -9,7 +9,7 @@
 
 
 class RequestKind(StrEnum):
-    """What may be done with a request whose outcome is unknown."""
+    """Whether a request with an unknown outcome may be sent again."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
@@ -17,17 +17,17 @@
 
 @frozen
 class Pool:
-    """Targets that do the same work.
+    """A group of interchangeable targets.
 
     Parameters
     ----------
     name : str
     warmup_s : float
-        Seconds for which a target that has just started counts as cold.
+        Seconds for which a newly started target counts as cold.
     warmup_per_s : float
-        Requests a second that a cold target bears; 0 for no bound.
+        Maximum requests per second to a cold target; 0 for no limit.
     max_connections : int
-        Connections that one target accepts from all callers together.
+        Maximum connections that one target accepts from all callers together.
     """
 
     name: str
@@ -38,7 +38,7 @@
 
 @frozen
 class WeightedPool:
-    """A pool and the weight of its part of a route's requests."""
+    """A pool and its weight in the distribution of a route's requests."""
 
     pool: str
     weight: float
@@ -46,28 +46,28 @@
 
 @frozen
 class Route:
-    """Where requests to a host and a path prefix go.
+    """Routing rule for requests to a host and a path prefix.
 
     Parameters
     ----------
     name, host, prefix : str
     kind : RequestKind
     pools : tuple of WeightedPool
-        One, or several that share the requests by weight.
+        One pool, or several that share the requests by weight.
     timeout_s : float
-        Longest time that a caller is kept waiting.
+        Maximum time until the caller gets a response.
     objective_s : float
-        Time within which an answer is worth most.
+        Desired response time; responses within it have the highest value.
     attempts : int
-        Most targets that one request may be sent to.
+        Maximum number of targets to which one request may be sent.
     priority : int
-        0 is the most urgent.
+        0 is the highest priority.
     is_public : bool
-        Whether requests need no key.
+        Whether requests are accepted without a key.
     is_sticky : bool
-        Whether a target that handled an object lately is faster.
+        Whether a target that recently handled an object serves it faster.
     home_regions : frozenset of str
-        The only regions that may serve it; empty for any.
+        Regions that may serve the route; empty for all.
     """
 
     name: str
@@ -85,23 +85,23 @@
 
     @property
     def is_idempotent(self) -> bool:
-        """Whether a second run does no harm."""
+        """Whether the request may safely run twice."""
         return self.kind is RequestKind.IDEMPOTENT
 
 
 @frozen
 class Workspace:
-    """A customer and what it may use over all VMs together.
+    """A customer and its limits over all VMs together.
 
     Parameters
     ----------
     name : str
     priority : int or None
-        Goes before the priority of a route.
+        Overrides the priority of a route.
     rate_per_s, burst : float
         0 for no limit.
     home_regions : frozenset of str
-        The only regions that may serve it; empty for any.
+        Regions that may serve the workspace; empty for all.
     """
 
     name: str
@@ -113,7 +113,7 @@
 
 @frozen
 class CallerLimits:
-    """What a caller may send, and how long it may take or stay idle."""
+    """Size limits and timeouts for callers' requests and connections."""
 
     max_head_bytes: int = 16_384
     max_body_bytes: int = 64 * 1024 * 1024
@@ -123,13 +123,13 @@
 
 @frozen
 class Configuration:
-    """One version of everything that operators configure.
+    """One version of the complete configuration.
 
     Parameters
     ----------
     version : int
     routes : dict of str to dict of str to Route
-        By host, then by prefix.
+        Routes by host, then by path prefix.
     pools : dict of str to Pool
     workspace_by_key : dict of str to Workspace
     requires_keys : bool
@@ -145,7 +145,7 @@
     limits: CallerLimits
 
     def route_for(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix that begins the path."""
+        """Return the route with the longest matching path prefix, or None."""
         by_prefix = self.routes.get(host)
         if not by_prefix:
             return None
--- a/packages/gateway/plantainshed_gateway/ports.py
+++ b/packages/gateway/plantainshed_gateway/ports.py
@@ -1,7 +1,7 @@
-"""What the gateway needs from its surroundings, as protocols.
+"""Protocols and data types between the gateway and a platform adapter.
 
-An adapter implements these for one platform. The gateway decides; an adapter
-only translates names, formats and calls.
+A platform adapter implements these protocols. The gateway contains all decision
+logic; an adapter only translates names, formats and calls.
 """
 
 from enum import StrEnum
@@ -15,7 +15,7 @@
 
 
 class Collection(StrEnum):
-    """Groups of objects in the platform's store that the gateway uses."""
+    """Collections of the platform's store that the gateway uses."""
 
     CONFIGURATION = "configuration"
     TARGETS = "targets"
@@ -25,15 +25,15 @@
 
 @frozen
 class Item:
-    """One object of a collection, its value still as the store holds it.
+    """One object of a collection with its undecoded value.
 
     Parameters
     ----------
     name : str
     revision : int
-        Of its last change.
+        Store revision of the object's last change.
     value : object
-        JSON types; decoded by `Decoder`.
+        The stored value as JSON types; `Decoder` decodes it.
     """
 
     name: str
@@ -43,7 +43,7 @@
 
 @frozen
 class Change:
-    """An object that was created or changed, or deleted."""
+    """The creation, update or deletion of an object."""
 
     item: Item
     is_deleted: bool
@@ -59,7 +59,7 @@
 
 @frozen
 class Changes:
-    """What happened to a collection up to a revision of the store."""
+    """Changes to a collection up to a revision of the store."""
 
     changes: tuple[Change, ...]
     revision: int
@@ -67,21 +67,21 @@
 
 @frozen
 class TargetEntry:
-    """What a target says of itself.
+    """A target's registration entry.
 
     Parameters
     ----------
     instance : str
-        Names one run of the target.
+        Name of one run of the target.
     pool, address, failure_domain : str
     slots : int
-        Requests that it runs at once.
+        Maximum number of concurrent requests.
     is_leaving : bool
     cold_for_s : float
-        How much longer it stays cold, at the time it said so.
+        Remaining warm-up time when the entry was written.
     started_ms : int or None
-        Wall clock of its start; only compared with itself, to notice that a
-        target started again under the same instance name.
+        Wall-clock start time. It is compared only with earlier values of the same
+        target, to detect a restart under the same instance name.
     """
 
     instance: str
@@ -96,19 +96,19 @@
 
 @frozen
 class CallerRequest:
-    """What the gateway reads of a caller's request.
+    """The fields of a caller's request that the gateway uses.
 
     Parameters
     ----------
     request_id : str
-        Empty if the caller gave none.
+        Empty if the caller sent none.
     host, path : str
-        Path without the query.
+        Host, and path without the query.
     key : str or None
     affinity : str or None
-        Names the object that the request concerns.
+        Identifier of the object that the request concerns.
     deadline_s : float or None
-        How long the caller will wait.
+        How long the caller waits for the response.
     """
 
     request_id: str
@@ -121,7 +121,7 @@
 
 @frozen
 class TargetLoad:
-    """A target's own figures: requests running and waiting, and its slots."""
+    """A target's load report: running and waiting requests, and its slots."""
 
     running: int
     waiting: int
@@ -130,20 +130,20 @@
 
 @frozen
 class TargetAnswer:
-    """What the gateway reads of a target's response head.
+    """The fields of a target's response head that the gateway uses.
 
     Parameters
     ----------
     request_id : str or None
-        Echo of the request's id.
+        Request id echoed by the target.
     is_signed : bool
-        Whether the response bears the target's signature.
+        Whether the response carries the target's signature.
     did_not_run : bool
-        Whether the target says that it did not run the request.
+        Whether the target reports that it did not run the request.
     is_other_instance : bool
-        Whether another instance than the expected one answered.
+        Whether an instance other than the expected one answered.
     is_encoded : bool
-        Whether the body is not the target's own bytes.
+        Whether the body is encoded, so that it differs from the target's own bytes.
     load : TargetLoad or None
     cold_for_s : float or None
     """
@@ -159,7 +159,7 @@
 
 @define
 class TargetRequestInfo:
-    """What the gateway tells a target beside the caller's own headers."""
+    """Information that the gateway adds to a request to a target."""
 
     instance: str
     deadline_s: float
@@ -167,7 +167,7 @@
 
 
 class Wire(Protocol):
-    """Names and formats of callers' and targets' messages."""
+    """Encodes and decodes the messages of callers and targets."""
 
     def read_request(self, head: RequestHead) -> CallerRequest:
         """Decode a request, or raise `BadRequest` naming the header."""
@@ -176,27 +176,27 @@
         """Return the headers to send to a target."""
 
     def read_answer(self, head: ResponseHead) -> TargetAnswer:
-        """Decode what a target's response head says."""
+        """Decode a target's response head."""
 
     def read_lookup(self, head: RequestHead) -> "Lookup":
-        """Decode a caller's question for VMs, or raise `BadRequest`."""
+        """Decode a caller's VM look-up, or raise `BadRequest`."""
 
     def write_lookup(self, addresses: list[str], ttl_s: float) -> bytes:
-        """Encode the answer to a look-up."""
+        """Encode the response to a look-up."""
 
     def is_lookup(self, head: RequestHead) -> bool:
-        """Tell whether a request asks which VMs to use."""
+        """Return whether a request is a VM look-up."""
 
     def is_readiness(self, head: RequestHead) -> bool:
-        """Tell whether a request asks if this VM is ready."""
+        """Return whether a request is a readiness check."""
 
     def retry_after(self, seconds: float) -> tuple[bytes, bytes]:
-        """Encode when a refused caller may come back."""
+        """Encode the header that tells a refused caller when to retry."""
 
 
 @frozen
 class Lookup:
-    """A caller's question which VMs to use."""
+    """A caller's request for the addresses of VMs to use."""
 
     host: str
     region: str
@@ -204,16 +204,16 @@
 
 
 class Decoder(Protocol):
-    """Turns stored values into the gateway's types, or raises `BadItem`."""
+    """Decodes stored values into the gateway's types, or raises `BadItem`."""
 
     def configuration(self, item: Item) -> Configuration | None:
-        """Decode a configuration; None if the item is something else."""
+        """Decode a configuration; return None if the item is not one."""
 
     def target(self, item: Item) -> TargetEntry:
-        """Decode a target's entry."""
+        """Decode a target's registration entry."""
 
     def evacuated_domain(self, item: Item) -> str:
-        """Return the failure domain that is to get nothing more."""
+        """Return the failure domain whose targets must receive no requests."""
 
 
 class Store(Protocol):
@@ -223,26 +223,26 @@
     """
 
     async def list(self, collection: Collection, allow_stale: bool = False) -> Snapshot:
-        """Return all objects of a collection; old by seconds if that may be."""
+        """Return all objects of a collection, seconds old if `allow_stale` is set."""
 
     async def watch(
         self, collection: Collection, revision: int, wait_s: float
     ) -> Changes:
-        """Return what changed after a revision; waits for a change so long.
+        """Return the changes after a revision, waiting up to `wait_s` for the first.
 
-        Raises `StoreUnavailable` also if the answer is overdue by a second.
+        Also raises `StoreUnavailable` if the response is overdue by a second.
         """
 
     async def create(self, collection: Collection, name: str, value: Any):
         """Create an object, or raise `ItemExists`."""
 
     async def replace(self, collection: Collection, item: Item, value: Any):
-        """Replace an object if it is still at the item's revision."""
+        """Replace an object if its revision still matches the item's."""
 
 
 @define
 class PlatformAdapter:
-    """Everything that an adapter hands to the gateway."""
+    """The implementations that a platform adapter passes to the gateway."""
 
     wire: Wire
     decoder: Decoder
