--- a/packages/gateway/plantainshed_gateway/logs.py
+++ b/packages/gateway/plantainshed_gateway/logs.py
@@ -1,8 +1,8 @@
-"""Decisions as JSON lines on standard output, never waiting for a reader.
+"""Writes decisions as JSON lines to standard output without blocking.
 
-Lines go through a bounded queue to a thread that writes them. A reader that
-is slow or stuck fills the pipe, then the queue; from then on lines are dropped
-and counted, and no request waits.
+A bounded queue passes the lines to a writer thread. A slow or blocked reader fills
+the pipe and then the queue. Further lines are dropped and counted, so that no
+request waits for the log.
 """
 
 import contextlib
@@ -15,28 +15,28 @@
 import trio
 from pythonjsonlogger.orjson import OrjsonFormatter
 
-# Lines that wait for the writer: a few seconds of a VM's requests, under 4 MB.
+# Capacity of the queue in lines: a few seconds of a VM's requests, under 4 MB.
 QUEUED_LINES = 4096
-# Most lines a second, twice the requests that one VM serves at its peak; more
-# would cost processor time that callers need.
+# Maximum log rate in lines per second: twice the peak request rate of one VM. A
+# higher rate would take CPU time from callers' requests.
 LINES_PER_S = 400.0
 BURST_LINES = 800.0
 
 
 class DecisionLog:
-    """Writes decisions as lines of JSON.
+    """Rate-limited log of decisions as JSON lines.
 
     Parameters
     ----------
     vm : str
     failure_domain : str
     stream : io.TextIOBase, optional
-        Instead of standard output.
+        Output stream; standard output by default.
 
     Attributes
     ----------
     dropped : int
-        Lines that were not written, for a full queue or over the rate.
+        Lines dropped because the queue was full or the rate limit was exceeded.
     """
 
     def __init__(self, vm: str, failure_domain: str, stream=None):
@@ -52,17 +52,17 @@
         self._writer: threading.Thread | None = None
 
     def event(self, event: str, **fields):
-        """Write one line, unless too many are under way."""
+        """Write one line unless the rate limit is exceeded."""
         if not self._take_token():
             self.dropped += 1
             return
         self.milestone(event, **fields)
 
     def milestone(self, event: str, **fields):
-        """Write one line whatever the rate; for the few of a process's life.
+        """Write one line regardless of the rate limit.
 
-        Without those of its stop, a process whose lines end looks like one that
-        was ended from outside.
+        Use it for the few life-cycle events of a process. If the lines of its
+        shutdown were dropped, the process would look as if it had been killed.
         """
         if self.dropped > self._dropped_reported:
             fields["lines_dropped"] = self.dropped
@@ -94,7 +94,7 @@
 
     @contextlib.contextmanager
     def writing(self):
-        """Write in a thread of its own for the length of a block."""
+        """Run the writer thread for the duration of a ``with`` block."""
         self._writer = threading.Thread(target=self._write_lines, daemon=True)
         self._writer.start()
         try:
@@ -102,7 +102,7 @@
         finally:
             with contextlib.suppress(queue.Full):
                 self._lines.put_nowait(None)
-            # A stuck reader must not keep the process from ending.
+            # A blocked reader must not prevent the process from exiting.
             self._writer.join(timeout=0.2)
 
     def _write_lines(self):
@@ -114,6 +114,6 @@
                 self.stream.write(self._formatter.format(record) + "\n")
                 self.stream.flush()
             except (OSError, ValueError):
-                # Nobody reads any more; there is nowhere left to say so but
-                # the counter on the metrics address.
+                # The reader is gone, so the failure can only be reported through
+                # the counter in the metrics.
                 self.dropped += 1
--- a/packages/gateway/plantainshed_gateway/metrics.py
+++ b/packages/gateway/plantainshed_gateway/metrics.py
@@ -1,4 +1,4 @@
-"""What the gateway counts, as text for the metrics address."""
+"""The gateway's metrics in Prometheus text format."""
 
 from aioprometheus import Counter, Gauge, Histogram, Registry, render
 
@@ -54,19 +54,19 @@
         return Counter(f"plantainshed_{name}_total", doc, registry=self.registry)
 
     def count_refusal(self, reason: Reason, route: str):
-        """Count a request that the gateway answered itself."""
+        """Count a request that the gateway refused."""
         self.refusals.inc({"reason": reason, "route": route})
 
     def count_retry(self, reason: Reason, pool: str):
-        """Count a further attempt."""
+        """Count a retry."""
         self.retries.inc({"reason": reason, "pool": pool})
 
     def count_answer(self, route: str, status: int, seconds: float):
-        """Count an answer of a target."""
+        """Count a target's response and record its latency."""
         self.answers.inc({"route": route, "status": str(status)})
         self.latency.observe({"route": route}, seconds)
 
     def render(self) -> bytes:
-        """Return all of it in Prometheus' text format."""
+        """Return all metrics in the Prometheus text format."""
         body, _ = render(self.registry, [])
         return body
--- a/packages/gateway/plantainshed_gateway/settings.py
+++ b/packages/gateway/plantainshed_gateway/settings.py
@@ -1,6 +1,6 @@
-"""The gateway's settings, read from an INI file and checked.
+"""Reads and validates the gateway's settings from an INI file.
 
-Unknown options are ignored, so that a newer file starts an older program.
+Unknown options are ignored, so that an older version can start with a newer file.
 """
 
 import configparser
@@ -16,20 +16,20 @@
 
 @frozen
 class Addresses:
-    """Where the daemon listens, each ``IP:PORT``; empty if not served.
+    """Listening addresses, each ``IP:PORT``, or empty to disable the listener.
 
     Parameters
     ----------
     callers : str
-        Callers' requests.
+        Address for callers' requests.
     ready : str
-        The platform's readiness checks.
+        Address for the platform's readiness checks.
     lookup : str
-        Callers' questions which VMs to use.
+        Address for callers' VM look-ups.
     control : str
-        Other VMs that fetch a copy of this one's state.
+        Address from which other VMs fetch a copy of this VM's state.
     metrics : str
-        Counters and histograms as text.
+        Address of the counters and histograms in text format.
     """
 
     callers: str
@@ -41,24 +41,24 @@
 
 @frozen
 class Bounds:
-    """What the deployment allows; durations in seconds.
+    """Limits set by the deployment; durations in seconds.
 
     Parameters
     ----------
     stop_within_s : float
-        Time from the signal to stop until the process is killed.
+        Time from the stop signal until the process is killed.
     longest_ttl_s : float
-        Longest time for which callers keep an answered look-up.
+        Maximum time for which callers cache a look-up response.
     in_force_within_s : float
         Time in which a configuration must be in force on all VMs.
     retry_ratio, retry_slack, retry_window_s
-        Further attempts that a pool may get in a window: this share of its
-        requests, and so many more.
+        Retry budget of a pool: retries allowed in one window, as a fraction of the
+        pool's requests plus a fixed number.
     quota_window_s, quota_over, quota_slack
-        Window in which a workspace's requests are counted, and by how much,
-        as a share and as a number, they may lie over its rate and burst.
+        Window in which a workspace's requests are counted, and the allowed excess
+        over its rate and burst, as a fraction plus a fixed number.
     cold_over, cold_slack
-        The same for requests to a cold target in a second.
+        The same allowed excess for requests per second to a cold target.
     """
 
     stop_within_s: float
@@ -82,17 +82,19 @@
     ----------
     vm, failure_domain, region, ip : str
     region_of : dict of str to str
-        By failure domain, for the whole deployment.
+        Region of each failure domain in the whole deployment.
     listen : Addresses
     datagram_port : int
         UDP port for heartbeats, the same on all VMs.
     seeds : tuple of str
-        ``IP:PORT`` of a few VMs, which may be gone.
+        ``IP:PORT`` of a few VMs through which the others are found; some may no
+        longer exist.
     store : str
         ``IP:PORT`` of the platform's object store.
     bounds : Bounds
     link_mbps : float
-        What this VM's link carries; VMs with wide links do more of the talking.
+        Bandwidth of this VM's network link; VMs with higher bandwidth are more likely
+        to become speakers.
     """
 
     vm: str
@@ -109,7 +111,7 @@
 
 
 def load_settings(path: str) -> Settings:
-    """Read and check a settings file, or raise `SettingsError`."""
+    """Read and validate a settings file, or raise `SettingsError`."""
     parser = configparser.ConfigParser(interpolation=None)
     parser.optionxform = str
     try:
@@ -214,9 +216,9 @@
         try:
             number = float(text)
         except ValueError as error:
-            raise self._error(section, option, f"{text!r} is no number") from error
+            raise self._error(section, option, f"{text!r} is not a number") from error
         if not math.isfinite(number):
-            raise self._error(section, option, f"{text!r} is no finite number")
+            raise self._error(section, option, f"{text!r} is not a finite number")
         return number
 
     def _duration(self, section: str, option: str) -> float:
--- a/packages/gateway/plantainshed_gateway/survey.py
+++ b/packages/gateway/plantainshed_gateway/survey.py
@@ -1,4 +1,4 @@
-"""Measuring the distance to failure domains before requests need to know it."""
+"""Measures the distance (round-trip time) to failure domains in advance."""
 
 import trio
 
@@ -9,14 +9,14 @@
 from .registry import Registry, TargetState
 from .round_trips import RoundTrips
 
-# Pause between connections to a failure domain of unknown distance.
+# Minimum interval between probes of a failure domain with unknown distance.
 PROBE_INTERVAL_S = 1.0
 
 
 class DistanceProber:
-    """Opens one connection to each failure domain of unknown distance.
+    """Opens one connection to each failure domain with unknown distance.
 
-    Placing and waits for other VMs depend on distances from the first request on.
+    Placement and timeouts for other VMs need distances from the first request on.
 
     Parameters
     ----------
@@ -40,7 +40,7 @@
         self._probed_at: dict[str, float] = {}
 
     def measure_unknown(self, nursery: trio.Nursery):
-        """Start measuring; what is under way, or failed a moment ago, waits."""
+        """Start probes, except where one started less than a probe interval ago."""
         now = trio.current_time()
         unknown = {
             domain
