--- a/packages/gateway/plantainshed_gateway/daemon.py
+++ b/packages/gateway/plantainshed_gateway/daemon.py
@@ -1,4 +1,4 @@
-"""The gateway on real sockets: start, stop, reload."""
+"""The gateway daemon: listening sockets, startup, shutdown and settings reload."""
 
 import contextlib
 import gc
@@ -27,11 +27,11 @@
 from .settings import Settings, load_settings
 
 BACKLOG = 1024
-# Part of the time to stop in which requests are still taken: callers keep an
-# answered look-up, and some keep it for three times as long. What comes in the
-# second half could not be let run to its end, and is for other VMs.
+# Fraction of the stop time in which requests are still accepted, because callers
+# cache look-ups, some of them for three times the TTL. Requests in the second half
+# might not finish in time, so other VMs must serve them.
 ACCEPT_FRACTION = 0.5
-# Part of it after which what still runs is broken off.
+# Fraction of the stop time after which requests that still run are aborted.
 DRAIN_FRACTION = 0.93
 WATCH_SETTINGS_S = 1.0
 METRICS_PATH = "/metrics"
@@ -40,21 +40,22 @@
 
 
 async def run_daemon(settings_path: str, make_platform_adapter: MakePlatformAdapter):
-    """Run a gateway until SIGTERM, then stop without cutting a request."""
-    # Read first: what changes from here on is then seen to differ from it.
+    """Run a gateway until SIGTERM, then shut down gracefully."""
+    # Read before the settings are loaded, so that any later change of the file is
+    # detected.
     content = _read_content(settings_path)
     settings = load_settings(settings_path)
     log = DecisionLog(settings.vm, settings.failure_domain)
     with open_signals() as signals, log.writing():
-        # Wall clock, but only as an identity: it is compared with nothing but
-        # earlier starts of this same VM.
+        # Wall-clock time, used only as an identifier: it is compared only with
+        # earlier starts of the same VM.
         incarnation = time.time_ns() // 1_000_000
         context = Context(settings, make_platform_adapter(settings), log, incarnation)
         log.milestone("start", incarnation=incarnation, settings=settings_path)
         try:
             await _Daemon(Gateway(context), settings_path, content).run(signals)
         except Exception:
-            # Without a last line, an end by an error looks like an end by a signal.
+            # Without this line, the log of a crash looks like that of a kill.
             log.milestone("ended by error", traceback=traceback.format_exc())
             raise
         log.milestone("stop", dropped_lines=log.dropped)
@@ -81,11 +82,12 @@
             await self._serve(nursery, listen.control, state.handle)
             await self._serve(nursery, listen.metrics, self._answer_metrics)
             nursery.start_soon(self._serve_callers, listen.callers)
-            # A stop that is asked for at once already tells other VMs.
+            # Wait until messages can be sent, so that even an immediate stop is
+            # announced to other VMs.
             await nursery.start(gateway.run)
             nursery.start_soon(self._watch_settings)
-            # What was made at the start lives on; the collector need not look
-            # at it again, which takes 20 ms at a time.
+            # Objects created at startup stay alive. Exclude them from garbage
+            # collection, where scanning them takes 20 ms each time.
             gc.collect()
             gc.freeze()
             await self.stop_requested.wait()
@@ -128,20 +130,20 @@
     # Signals.
 
     async def _handle_signals(self, signals: AsyncIterator[int]):
-        """Act on signals, in whichever state they come, until cancelled."""
+        """Handle signals in any state of the daemon until cancelled."""
         async for number in signals:
             if number == signal.SIGHUP:
                 self._reload("signal")
             elif self.stop_requested.is_set():
-                # Whoever asks twice gets the stop that is under way: to hurry
-                # it would cut requests that it lets run to their end.
+                # A second stop signal does not speed up the shutdown: that would
+                # abort requests that are allowed to finish.
                 self.log.event("stop requested again", signal=number)
             else:
                 self.log.milestone("stop requested", signal=number)
                 self.stop_requested.set()
 
     async def _stop(self):
-        """Steer callers away, then end what runs, within the time given."""
+        """Redirect callers to other VMs and drain requests within the stop time."""
         within_s = self.settings.bounds.stop_within_s
         began_at = trio.current_time()
         self.stopping.is_announced = True
@@ -157,13 +159,13 @@
         self._log_stopping("stopped late" if scope.cancelled_caught else "callers gone")
 
     def _log_stopping(self, step: str, **more):
-        """Write each step, so that the lines show in which one a process ended."""
+        """Log a shutdown step, so that the log shows in which step a process ended."""
         self.log.milestone(step, in_flight=self.gateway.serving.in_flight, **more)
 
     # Settings.
 
     async def _watch_settings(self):
-        """Notice a settings file that changed without a signal."""
+        """Reload the settings when the file changes without a signal."""
         while True:
             await trio.sleep(WATCH_SETTINGS_S)
             if _read_content(self.settings_path) != self.settings_content:
@@ -187,11 +189,12 @@
 
 
 def accept_period_s(within_s: float) -> float:
-    """Return how long a daemon that stops still takes new connections.
+    """Return how long a stopping daemon still accepts new connections.
 
-    Kept ones may begin a request for a moment longer. Were that moment not taken
-    off, a request that comes at its end waits in a target's queue while the time
-    to stop runs out, and is cut though the target runs it.
+    Kept-alive connections may begin a request for `STOP_GRACE_S` longer, so that time
+    is subtracted. Otherwise a request that arrives at the end of it could wait in a
+    target's queue until the stop time runs out, and be aborted while the target runs
+    it.
     """
     return max(0.0, ACCEPT_FRACTION * within_s - STOP_GRACE_S)
 
@@ -202,7 +205,7 @@
 
 
 def _read_content(path: str) -> bytes | None:
-    # Bytes, for a file that is being written may hold what is no text.
+    # Read as bytes, because a partially written file may not be valid text.
     with contextlib.suppress(OSError):
         return Path(path).read_bytes()
     return None
--- a/packages/gateway/plantainshed_gateway/gateway.py
+++ b/packages/gateway/plantainshed_gateway/gateway.py
@@ -1,4 +1,4 @@
-"""One VM's part of the system: all parts, joined, without listening sockets."""
+"""Assembles the components of one gateway VM, without its listening sockets."""
 
 import contextlib
 
@@ -39,24 +39,25 @@
 
 FOLLOWED = (Collection.CONFIGURATION, Collection.TARGETS, Collection.EVACUATIONS)
 UPKEEP_S = 0.25
-# Pause between looks at the list of VMs in the store. Heartbeats tell sooner;
-# this finds VMs that a partition kept apart from the start.
+# Interval between reads of the VM list in the store. Heartbeats announce new VMs
+# sooner; the list finds VMs that were partitioned from this one since startup.
 LIST_VMS_S = 30.0
 REGISTER_RETRY_S = 1.0
-# Longest time after a pause in which callers are refused. Without the store
-# this VM then serves with what it knew, as it would have without the pause.
+# Maximum time after a pause in which callers are refused. If the store is still
+# unavailable then, this VM serves with its last known state, as it would have
+# without the pause.
 CATCH_UP_S = 1.5
 CATCH_UP_STEP_S = 0.02
 
 
 class Gateway:
-    """All parts of one VM.
+    """All components of one gateway VM.
 
     Attributes
     ----------
     state : VmState
     limits : ConnectionLimits
-        For callers' connections, as the configuration in force says.
+        Limits of callers' connections from the configuration in force.
     """
 
     def __init__(self, context: Context):
@@ -146,11 +147,11 @@
         self._nursery: trio.Nursery | None = None
 
     def apply_settings(self, new: Settings) -> Settings:
-        """Take over what may change while the daemon runs: bounds and seeds.
+        """Apply the settings that may change at run time: bounds and seeds.
 
-        Returns the settings in force. The rest stays as it was at the start: told
-        to other VMs and to callers, an address on which nothing listens yet would
-        draw requests that are lost.
+        Returns the settings in force. All other settings need a restart: a changed
+        address would be announced to other VMs and callers although nothing listens
+        on it yet, and requests to it would be lost.
         """
         settings = evolve(self.context.settings, bounds=new.bounds, seeds=new.seeds)
         self.context.settings = settings
@@ -163,11 +164,11 @@
 
     @property
     def replicas(self):
-        """This VM's copies, by collection."""
+        """This VM's replicas, by collection."""
         return {name: follower.replica for name, follower in self.followers.items()}
 
     async def run(self, task_status=trio.TASK_STATUS_IGNORED):
-        """Run all parts until cancelled; started once messages can be sent."""
+        """Run all components until cancelled; started once messages can be sent."""
         async with self.peers.open(), trio.open_nursery() as nursery:
             task_status.started()
             self._nursery = self.messages.nursery = nursery
@@ -186,7 +187,7 @@
         self.state_applier.apply(collection)
         self._become_ready()
         if self._nursery is not None and self.speakers.is_speaker:
-            # The others of this failure domain have changes from here.
+            # The other VMs of this failure domain get changes from this speaker.
             self._nursery.start_soon(self.peers.send_now, False)
 
     def _become_ready(self):
@@ -198,7 +199,8 @@
             self.state = VmState.READY
             self.serving.is_ready.set()
             if self._nursery is not None:
-                # Others leave a part of quotas to it, and name it, from then on.
+                # From this heartbeat on, other VMs reserve a share of the quotas for
+                # this VM and include it in look-ups.
                 self._nursery.start_soon(self.peers.send_now)
             self.log.event(
                 "ready",
@@ -206,7 +208,7 @@
                 targets=len(self.registry.states),
             )
 
-    # Other VMs.
+    # Communication with other VMs.
 
     def _own_heartbeat(self, newest: dict, use: dict, known: int = 1) -> Heartbeat:
         settings = self.context.settings
@@ -239,7 +241,7 @@
         await self.messages.take(message, ip)
 
     async def _list_vms(self):
-        """Register this VM in the store, and learn which others there are."""
+        """Register this VM in the store, and periodically list the other VMs."""
         is_registered = False
         while True:
             pause_s = LIST_VMS_S
@@ -276,8 +278,8 @@
         try:
             await store.create(Collection.VMS, settings.vm, value)
         except ItemExists as error:
-            # An earlier run of this VM; a machine that replaces it under its
-            # name can have another address.
+            # The entry is from an earlier run. A replacement machine with the same
+            # name may have a different address.
             if error.item is not None and error.item.value != value:
                 with contextlib.suppress(ItemExists):
                     await store.replace(Collection.VMS, error.item, value)
@@ -309,7 +311,10 @@
                 metrics.copy_age.set(labels, trio.current_time() - replica.confirmed_at)
 
     async def _catch_up_after(self, paused_s: float):
-        """Learn what changed while this process stood still."""
+        """After a process pause, refuse callers until the replicas are up to date.
+
+        The time is limited to `CATCH_UP_S`.
+        """
         self.log.event("was paused", seconds=round(paused_s, 3))
         self.serving.is_awake = False
         self.state_applier.note_pause()
@@ -324,10 +329,10 @@
             confirmed=[n for n, copy in self.replicas.items() if copy.is_confirmed],
         )
 
-    # Questions from outside.
+    # HTTP handlers.
 
     async def answer_lookup(self, exchange: Exchange):
-        """Answer which VMs a caller is to use."""
+        """Answer a caller's look-up with the addresses of VMs to use."""
         wire = self.context.surroundings.wire
         try:
             lookup = wire.read_lookup(exchange.request)
@@ -337,21 +342,21 @@
         addresses = self.lookup.addresses(lookup)
         self.context.metrics.lookups.inc({"region": lookup.region})
         if not addresses:
-            # An answer without addresses would send the caller nowhere.
+            # An empty address list would leave the caller without any VM to use.
             await exchange.reply(503, [], b"no VM takes callers now\n")
             return
         body = wire.write_lookup(addresses, self.lookup.ttl_s)
         await exchange.reply(200, [(b"content-type", b"application/json")], body)
 
     async def answer_readiness(self, exchange: Exchange):
-        """Answer whether this VM takes callers."""
+        """Answer a readiness check."""
         if self.state is VmState.READY:
             await exchange.reply(200, [], b"ready\n")
         else:
             await exchange.reply(503, [], f"{self.state}\n".encode())
 
     async def announce_leaving(self):
-        """Tell all VMs that this one is to be left out of look-ups."""
+        """Announce to all VMs that look-ups must no longer include this VM."""
         self.state = VmState.LEAVING
         await self.peers.send_now()
 
--- a/packages/gateway/plantainshed_gateway/replication.py
+++ b/packages/gateway/plantainshed_gateway/replication.py
@@ -258,7 +258,7 @@
             if self._is_watch_superseded:
                 self._is_watch_superseded = False
                 return
-            raise StoreUnavailable("the watch went silent")
+            raise StoreUnavailable("watch timed out without a response")
         self._retry_delay_s = INITIAL_RETRY_DELAY_S
         self.mark_connected()
         if self.replica.apply_changes(changes):
--- a/packages/gateway/plantainshed_gateway/state_taker.py
+++ b/packages/gateway/plantainshed_gateway/state_taker.py
@@ -103,7 +103,9 @@
             )
             return
         self.admission.configuration = configuration
-        routes = [r for by in configuration.routes.values() for r in by.values()]
+        routes = [
+            r for by_prefix in configuration.routes.values() for r in by_prefix.values()
+        ]
         self.admission.splitter.keep({(r.name, r.pools) for r in routes})
         self.registry.update_configuration(configuration)
         self.admission.quotas.workspaces = {
@@ -136,8 +138,8 @@
         self._log_targets(before, follower.replica.revision)
 
     def _has_just_reconnected(self, follower: Follower) -> bool:
-        since_back_s = trio.current_time() - follower.reconnected_at
-        return since_back_s < REREGISTRATION_S and not self._was_paused()
+        since_reconnect_s = trio.current_time() - follower.reconnected_at
+        return since_reconnect_s < REREGISTRATION_S and not self._was_paused()
 
     def _was_paused(self) -> bool:
         return trio.current_time() - self._paused_at < REREGISTRATION_S
--- a/tests/gateway/test_state_taker.py
+++ b/tests/gateway/test_state_taker.py
@@ -92,7 +92,7 @@
         applier = make_applier(NameDecoder(), follower, log)
         follower.mark_connected()
         apply_targets(applier, 5, "i-0", "i-1")
-        follower.mark_disconnected("the watch went silent")
+        follower.mark_disconnected("watch timed out without a response")
         applier.note_pause()
         follower.mark_connected()
         apply_targets(applier, 6, "i-1")
@@ -105,7 +105,7 @@
         applier = make_applier(NameDecoder(), follower, NoLog())
         follower.mark_connected()
         apply_targets(applier, 5, "i-0", "i-1")
-        follower.mark_disconnected("the watch went silent")
+        follower.mark_disconnected("watch timed out without a response")
         follower.is_watch_delegated = True
         apply_targets(applier, 6, "i-1")
         self.assertEqual(len(applier.registry.usable("calendario", frozenset())), 1)
