--- a/tests/gateway/test_copies_under_faults.py
+++ b/tests/gateway/test_copies_under_faults.py
@@ -1,4 +1,4 @@
-"""Copies of several VMs under random faults of the store and of peers."""
+"""Replicas of several VMs under random faults of the store and of peers."""
 
 import random
 import unittest
@@ -15,29 +15,32 @@
 FOLLOWED = (Collection.CONFIGURATION, Collection.TARGETS, Collection.EVACUATIONS)
 CALL_TIMEOUT_S = 1.0
 POLL_S = 1.5
-TROUBLE_S = 40.0
-# Until a VM that is not on duty has been told by another.
-CALM_S = 12.0
-LOOK_S = 0.02
+FAULT_PERIOD_S = 40.0
+# Time until a VM that does not poll has received all changes from its peers.
+RECOVERY_S = 12.0
+CHECK_INTERVAL_S = 0.02
 
 
 class FaultyStore:
-    """One revision for all collections; loses, refuses, lags and forgets.
+    """A store that loses or rejects calls, lags, and expires its history.
+
+    All collections share one revision counter, as in the real store.
 
     Attributes
     ----------
     answers : str
         ``yes``, ``silent`` or ``refusing``.
-    deaf : list of Collection
-        Collections whose waiting watches are never answered.
+    unanswered : list of Collection
+        Collections whose pending watches are never answered.
     lag : int
-        Most revisions by which an answer to a watch or a poll can be old.
+        Maximum number of revisions by which a response to a watch or poll may be
+        outdated.
     oldest : int
-        Changes up to this revision are forgotten.
+        Changes up to this revision are no longer available.
     """
 
-    def __init__(self, chance: random.Random):
-        self.chance = chance
+    def __init__(self, rng: random.Random):
+        self.rng = rng
         self.revision = 10
         self.history: list[tuple[Collection, Change]] = []
         self.changed = trio.Event()
@@ -45,7 +48,7 @@
         self.oldest = 0
 
     def heal(self):
-        self.answers, self.deaf, self.lag = "yes", [], 0
+        self.answers, self.unanswered, self.lag = "yes", [], 0
 
     def put(self, collection: Collection, name: str, is_deleted: bool):
         self.revision += 1
@@ -70,15 +73,15 @@
         )
 
     async def list(self, collection):
-        await self._way_there()
+        await self._receive_request()
         items = self.items(collection, self.revision)
         snapshot = Snapshot(tuple(items.values()), self.revision)
-        await self._way()
+        await self._delay()
         return snapshot
 
     async def watch(self, collection, revision, wait_s):
-        await self._way_there(wait_s)
-        if wait_s and collection in self.deaf:
+        await self._receive_request(wait_s)
+        if wait_s and collection in self.unanswered:
             await trio.sleep(wait_s + CALL_TIMEOUT_S)
             raise StoreUnavailable("no answer")
         if revision < self.oldest:
@@ -86,29 +89,29 @@
         with trio.move_on_after(wait_s):
             while not self.changes(collection, revision, self.revision):
                 await self.changed.wait()
-        newest = max(revision, self.revision - self.chance.randint(0, self.lag))
+        newest = max(revision, self.revision - self.rng.randint(0, self.lag))
         answer = Changes(self.changes(collection, revision, newest), newest)
-        await self._way()
+        await self._delay()
         return answer
 
-    async def _way_there(self, wait_s=0.0):
+    async def _receive_request(self, wait_s=0.0):
         if self.answers == "silent":
             await trio.sleep(wait_s + CALL_TIMEOUT_S)
             raise StoreUnavailable("no answer")
-        await self._way()
+        await self._delay()
         if self.answers == "refusing":
-            raise StoreUnavailable("turned away")
+            raise StoreUnavailable("rejected")
 
-    async def _way(self):
-        await trio.sleep(self.chance.uniform(0.001, 0.1))
+    async def _delay(self):
+        await trio.sleep(self.rng.uniform(0.001, 0.1))
 
 
-class Trial:
-    """Three VMs that follow one store and tell each other what they know."""
+class FaultSimulation:
+    """Three VMs that follow one store and fetch changes from each other."""
 
     def __init__(self, seed: int):
-        self.chance = random.Random(seed)
-        self.store = FaultyStore(self.chance)
+        self.rng = random.Random(seed)
+        self.store = FaultyStore(self.rng)
         self.vms = [
             {
                 collection: Follower(self.store, collection, lambda c: None, NoLog())
@@ -123,39 +126,35 @@
         for number, followers in enumerate(self.vms):
             for follower in followers.values():
                 nursery.start_soon(follower.run)
-            freshness = FreshnessPoller(
-                followers, self._duty_of(number), f"vm-{number}"
-            )
-            nursery.start_soon(freshness.run, lambda: POLL_S)
-            nursery.start_soon(self._hear, followers)
+            poller = FreshnessPoller(followers, self._is_poller(number), f"vm-{number}")
+            nursery.start_soon(poller.run, lambda: POLL_S)
+            nursery.start_soon(self._fetch_from_peers, followers)
 
-    def _duty_of(self, number: int):
-        return lambda: number == 0 or self.chance.random() < 0.2
+    def _is_poller(self, number: int):
+        return lambda: number == 0 or self.rng.random() < 0.2
 
-    async def make_trouble(self):
+    async def inject_faults(self):
         while True:
-            await trio.sleep(self.chance.expovariate(4.0))
-            collection = self.chance.choice(FOLLOWED)
-            self.store.put(
-                collection, self.chance.choice("abc"), self.chance.random() < 0.4
-            )
-            if self.chance.random() < 0.15:
+            await trio.sleep(self.rng.expovariate(4.0))
+            collection = self.rng.choice(FOLLOWED)
+            self.store.put(collection, self.rng.choice("abc"), self.rng.random() < 0.4)
+            if self.rng.random() < 0.15:
                 self._change_faults()
 
     def _change_faults(self):
-        store, chance = self.store, self.chance
-        store.answers = chance.choice(["yes", "yes", "silent", "refusing"])
-        store.deaf = chance.sample(FOLLOWED, chance.randint(0, 3))
-        store.lag = chance.choice([0, 3])
-        if chance.random() < 0.2:
-            store.oldest = store.revision - chance.randint(0, 4)
-        if chance.random() < 0.2:
-            chance.choice(list(chance.choice(self.vms).values())).relist()
-
-    async def _hear(self, followers: dict[Collection, Follower]):
+        store, rng = self.store, self.rng
+        store.answers = rng.choice(["yes", "yes", "silent", "refusing"])
+        store.unanswered = rng.sample(FOLLOWED, rng.randint(0, 3))
+        store.lag = rng.choice([0, 3])
+        if rng.random() < 0.2:
+            store.oldest = store.revision - rng.randint(0, 4)
+        if rng.random() < 0.2:
+            rng.choice(list(rng.choice(self.vms).values())).relist()
+
+    async def _fetch_from_peers(self, followers: dict[Collection, Follower]):
         while True:
-            await trio.sleep(self.chance.uniform(0.05, 0.5))
-            other = self.chance.choice([vm for vm in self.vms if vm is not followers])
+            await trio.sleep(self.rng.uniform(0.05, 0.5))
+            other = self.rng.choice([vm for vm in self.vms if vm is not followers])
             for collection, follower in followers.items():
                 replica = other[collection].replica
                 if replica.changed_at_revision > follower.replica.revision:
@@ -163,12 +162,12 @@
 
     async def _catch_up(self, follower: Follower, replica: Replica):
         async def fetch(peer, collection, after):
-            await trio.sleep(self.chance.uniform(0.001, 0.3))
-            told = replica.changes_since(after)
-            if told is None:
-                told = Snapshot(tuple(replica.items.values()), replica.revision)
-            await trio.sleep(self.chance.uniform(0.001, 0.3))
-            return told
+            await trio.sleep(self.rng.uniform(0.001, 0.3))
+            fetched = replica.changes_since(after)
+            if fetched is None:
+                fetched = Snapshot(tuple(replica.items.values()), replica.revision)
+            await trio.sleep(self.rng.uniform(0.001, 0.3))
+            return fetched
 
         await follower.catch_up(str(id(replica)), replica.changed_at_revision, fetch)
 
@@ -178,28 +177,34 @@
 
 class TestCopies(unittest.TestCase):
     @on_mock_clock
-    async def test_copies_hold_what_their_revision_says_under_any_fault(self):
-        """A copy whose revision ran ahead of its content never got what it lacked."""
+    async def test_replicas_match_the_store_at_their_revision_under_faults(self):
+        """A replica's content must always match the store at the replica's revision.
+
+        If its revision were ahead of its content, it would never request the missing
+        changes.
+        """
         for seed in range(4):
-            trial = Trial(seed)
+            simulation = FaultSimulation(seed)
             async with trio.open_nursery() as nursery:
-                trial.start(nursery)
-                nursery.start_soon(self._look, trial, seed)
-                with trio.move_on_after(TROUBLE_S):
-                    await trial.make_trouble()
-                trial.store.heal()
-                await trio.sleep(CALM_S)
-                for replica in trial.replicas():
-                    expected = trial.store.items(
-                        replica.collection, trial.store.revision
+                simulation.start(nursery)
+                nursery.start_soon(self._check_replicas, simulation, seed)
+                with trio.move_on_after(FAULT_PERIOD_S):
+                    await simulation.inject_faults()
+                simulation.store.heal()
+                await trio.sleep(RECOVERY_S)
+                for replica in simulation.replicas():
+                    expected = simulation.store.items(
+                        replica.collection, simulation.store.revision
                     )
                     self.assertEqual(replica.items, expected, seed)
                 nursery.cancel_scope.cancel()
 
-    async def _look(self, trial: Trial, seed: int):
+    async def _check_replicas(self, simulation: FaultSimulation, seed: int):
         while True:
-            await trio.sleep(LOOK_S)
-            for replica in trial.replicas():
+            await trio.sleep(CHECK_INTERVAL_S)
+            for replica in simulation.replicas():
                 if replica.is_initialized:
-                    expected = trial.store.items(replica.collection, replica.revision)
+                    expected = simulation.store.items(
+                        replica.collection, replica.revision
+                    )
                     self.assertEqual(replica.items, expected, seed)
--- a/tests/gateway/test_freshness.py
+++ b/tests/gateway/test_freshness.py
@@ -19,22 +19,24 @@
 
 
 class RevisionedStore:
-    """One revision for all collections; what is sent into its silence is lost.
+    """A store with one revision counter for all collections and settable faults.
+
+    Calls that arrive while it is silent are lost.
 
     Attributes
     ----------
     is_silent : bool
-        Whether calls that begin now are never answered.
+        Whether new calls are never answered.
     is_refusing : bool
-        Whether calls that begin now are turned away at once.
-    deaf : set of Collection
-        Collections whose waiting watches are never answered.
+        Whether new calls are rejected immediately.
+    unanswered : set of Collection
+        Collections whose pending watches are never answered.
     takes_watches : bool
-        Whether waiting watches are not turned away at once.
+        Whether watches are accepted instead of rejected immediately.
     oldest : int
-        Changes up to this revision are forgotten.
+        Changes up to this revision are no longer available.
     lagging_at : dict of Collection to int
-        Revision up to which polls of a collection are answered, if not to the newest.
+        Revision at which polls of a collection are answered, if not at the newest.
     """
 
     def __init__(self):
@@ -43,7 +45,7 @@
         self.changed = trio.Event()
         self.is_silent = False
         self.is_refusing = False
-        self.deaf: set[Collection] = set()
+        self.unanswered: set[Collection] = set()
         self.takes_watches = True
         self.watches = 0
         self.oldest = 0
@@ -76,20 +78,22 @@
             self.polls.append(collection)
         await self._answer(wait_s)
         if wait_s and not self.takes_watches:
-            raise StoreUnavailable("turned away")
-        if wait_s and collection in self.deaf:
+            raise StoreUnavailable("rejected")
+        if wait_s and collection in self.unanswered:
             await trio.sleep(wait_s + CALL_TIMEOUT_S)
             raise StoreUnavailable("no answer")
         if revision < self.oldest:
             raise HistoryGone("gone")
         if not wait_s and collection in self.lagging_at:
-            return self._as_of(collection, revision, self.lagging_at[collection])
+            return self._changes_up_to(
+                collection, revision, self.lagging_at[collection]
+            )
         with trio.move_on_after(wait_s):
             while not self._since(collection, revision):
                 await self.changed.wait()
         return Changes(self._since(collection, revision), self.revision)
 
-    def _as_of(self, collection, revision, newest):
+    def _changes_up_to(self, collection, revision, newest):
         since = self._since(collection, revision)
         known = tuple(change for change in since if change.item.revision <= newest)
         return Changes(known, newest)
@@ -104,15 +108,15 @@
     async def _answer(self, wait_s=0.0):
         if self.is_refusing:
             await trio.sleep(ANSWER_S)
-            raise StoreUnavailable("turned away")
+            raise StoreUnavailable("rejected")
         if self.is_silent:
             await trio.sleep(wait_s + CALL_TIMEOUT_S)
             raise StoreUnavailable("no answer")
         await trio.sleep(ANSWER_S)
 
 
-class FreshVm:
-    """Followers of one store, and the polls beside them."""
+class PollingVm:
+    """A VM with followers of one store and a freshness poller."""
 
     def __init__(self, store: RevisionedStore):
         self.store = store
@@ -122,7 +126,7 @@
             for collection in FOLLOWED
         }
         self.is_poller = True
-        self.freshness = FreshnessPoller(self.followers, lambda: self.is_poller, "vm-0")
+        self.poller = FreshnessPoller(self.followers, lambda: self.is_poller, "vm-0")
 
     def value(self, collection: Collection):
         item = self.followers[collection].replica.items.get("main")
@@ -141,11 +145,11 @@
 
 @contextlib.asynccontextmanager
 async def running_vm(interval_s=INTERVAL_S):
-    vm = FreshVm(RevisionedStore())
+    vm = PollingVm(RevisionedStore())
     async with trio.open_nursery() as nursery:
         for follower in vm.followers.values():
             nursery.start_soon(follower.run)
-        nursery.start_soon(vm.freshness.run, lambda: interval_s)
+        nursery.start_soon(vm.poller.run, lambda: interval_s)
         await trio.sleep(10)
         yield vm
         nursery.cancel_scope.cancel()
@@ -153,8 +157,12 @@
 
 class TestFreshness(unittest.TestCase):
     @on_mock_clock
-    async def test_watches_sent_into_a_silence_do_not_hide_changes(self):
-        """Every VM kept an old configuration for as long as a watch may wait."""
+    async def test_watches_lost_in_an_outage_do_not_hide_changes(self):
+        """Watches sent during a store outage are never answered.
+
+        Without polls, every VM would keep an old configuration until the watch times
+        out.
+        """
         for collection in FOLLOWED:
             async with running_vm() as vm:
                 vm.store.put(collection, "first")
@@ -167,8 +175,8 @@
                 self.assertLess(seconds, CALL_TIMEOUT_S + 0.5, collection)
 
     @on_mock_clock
-    async def test_watches_are_sent_again_after_a_silence(self):
-        """After a silence each change took a poll's interval to arrive."""
+    async def test_watches_are_restarted_after_an_outage(self):
+        """If lost watches are not restarted, each change waits for the next poll."""
         async with running_vm() as vm:
             vm.store.put(Collection.TARGETS, "first")
             vm.store.is_silent = True
@@ -180,8 +188,12 @@
             self.assertLess(seconds, 3 * ANSWER_S)
 
     @on_mock_clock
-    async def test_change_that_ends_a_silence_is_taken_as_one_after_it(self):
-        """Targets whose entries ran out in a silence were dropped though they live."""
+    async def test_change_that_ends_an_outage_counts_as_after_reconnection(self):
+        """Entries of live targets expire during a store outage.
+
+        The follower must be marked as reconnected before it reports the change, or
+        these targets are dropped without a grace period.
+        """
         async with running_vm() as vm:
             follower, ages_s = vm.followers[Collection.TARGETS], []
             follower.listener = lambda collection: ages_s.append(
@@ -198,10 +210,13 @@
             self.assertLess(ages_s[0], 3 * ANSWER_S)
 
     @on_mock_clock
-    async def test_one_silent_watch_is_noticed_by_the_revision_of_another(self):
-        """A target's leaving was unknown though the store answered all else."""
+    async def test_dead_watch_is_detected_by_the_revision_of_another_collection(self):
+        """Only the watch of the targets is dead; the store answers all other calls.
+
+        The VM must still learn in time that a target leaves.
+        """
         async with running_vm() as vm:
-            vm.store.deaf = {Collection.TARGETS}
+            vm.store.unanswered = {Collection.TARGETS}
             vm.followers[Collection.TARGETS].restart_watch()
             await trio.sleep(1)
             vm.store.put(Collection.CONFIGURATION, "known")
@@ -210,10 +225,14 @@
             self.assertLess(seconds, INTERVAL_S + 3 * ANSWER_S)
 
     @on_mock_clock
-    async def test_poll_answered_late_by_the_store_loses_no_change(self):
-        """A copy marked complete past a change never asked for it again."""
+    async def test_outdated_poll_response_loses_no_change(self):
+        """A lagging store answers a poll with an older revision.
+
+        If the replica were marked complete beyond a change that it misses, it would
+        never request that change again.
+        """
         async with running_vm() as vm:
-            vm.store.deaf = {Collection.TARGETS}
+            vm.store.unanswered = {Collection.TARGETS}
             vm.followers[Collection.TARGETS].restart_watch()
             await trio.sleep(1)
             vm.store.lagging_at = {Collection.TARGETS: vm.store.revision}
@@ -225,14 +244,14 @@
                 await vm.seconds_until(Collection.TARGETS, "leaving")
 
     @on_mock_clock
-    async def test_change_that_only_a_poll_brings_reaches_others_in_time(self):
-        """Callers of VMs that are told of it met the old version after 2 s."""
+    async def test_change_found_by_a_poll_reaches_other_vms_in_time(self):
+        """VMs that fetch the change from the poller must also have it within 2 s."""
         in_force_within_s = 2.0
         configuration = Collection.CONFIGURATION
         async with running_vm(poll_interval_s(in_force_within_s)) as vm:
             other = Follower(vm.store, configuration, lambda c: None, NoLog())
             other.replica.revision = vm.followers[configuration].replica.revision
-            vm.store.deaf = set(FOLLOWED)
+            vm.store.unanswered = set(FOLLOWED)
             for follower in vm.followers.values():
                 follower.restart_watch()
             vm.store.polls.clear()
@@ -247,8 +266,8 @@
             self.assertLess(trio.current_time() - began_at, in_force_within_s)
 
     @on_mock_clock
-    async def test_polls_are_one_an_interval_while_watches_bring_all(self):
-        """Polls of each collection would cost three times as many calls."""
+    async def test_one_poll_per_interval_while_watches_deliver_all_changes(self):
+        """Polling each collection would cost three times as many calls."""
         async with running_vm() as vm:
             vm.store.polls.clear()
             for number in range(20):
@@ -258,10 +277,10 @@
             self.assertEqual(set(vm.store.polls), {Collection.CONFIGURATION})
 
     @on_mock_clock
-    async def test_forgotten_history_is_read_anew(self):
-        """A poll met forgotten history and went on from the old revision."""
+    async def test_expired_history_causes_a_new_list(self):
+        """If history has expired, a poll must not continue from the old revision."""
         async with running_vm() as vm:
-            vm.store.deaf = set(FOLLOWED)
+            vm.store.unanswered = set(FOLLOWED)
             for follower in vm.followers.values():
                 follower.restart_watch()
             await trio.sleep(0.5)
@@ -271,8 +290,8 @@
             self.assertLess(seconds, INTERVAL_S + 3 * ANSWER_S)
 
     @on_mock_clock
-    async def test_unanswered_poll_counts_as_a_lost_store(self):
-        """VMs left their watches to one that heard nothing."""
+    async def test_unanswered_poll_marks_the_store_as_disconnected(self):
+        """Other VMs must not rely on the watches of a disconnected VM."""
         async with running_vm() as vm:
             vm.store.is_silent = True
             await trio.sleep(INTERVAL_S + CALL_TIMEOUT_S + 0.1)
@@ -282,8 +301,8 @@
             self.assertTrue(vm.followers[Collection.CONFIGURATION].is_connected)
 
     @on_mock_clock
-    async def test_polls_that_are_turned_away_become_rarer(self):
-        """Polls kept a store that turns away what is too much busy, ten a second."""
+    async def test_rejected_polls_back_off(self):
+        """Without backoff, polls would load an overloaded store ten times a second."""
         async with running_vm() as vm:
             vm.store.is_refusing = True
             await trio.sleep(INTERVAL_S + 2 * MAX_RETRY_DELAY_S)
@@ -292,13 +311,11 @@
             self.assertLessEqual(len(vm.store.polls), 20 / MAX_RETRY_DELAY_S)
             vm.store.is_refusing = False
             await trio.sleep(MAX_RETRY_DELAY_S + 0.2)
-            self.assertFalse(vm.freshness.is_store_unreachable)
+            self.assertFalse(vm.poller.is_store_unreachable)
 
     @on_mock_clock
-    async def test_watches_that_are_turned_away_stay_rare_while_polls_are_answered(
-        self,
-    ):
-        """Each answered poll made the watches of a busy store frequent again."""
+    async def test_rejected_watches_back_off_while_polls_are_answered(self):
+        """An answered poll must not reset the backoff of rejected watches."""
         async with running_vm() as vm:
             vm.store.takes_watches = False
             for follower in vm.followers.values():
@@ -306,12 +323,16 @@
             await trio.sleep(INTERVAL_S)
             vm.store.watches = 0
             await trio.sleep(20)
-            most = 20 / MAX_RETRY_DELAY_S * len(FOLLOWED)
-            self.assertLessEqual(vm.store.watches, most)
+            max_watches = 20 / MAX_RETRY_DELAY_S * len(FOLLOWED)
+            self.assertLessEqual(vm.store.watches, max_watches)
 
     @on_mock_clock
-    async def test_vm_that_goes_off_duty_in_a_silence_sends_its_watches_again(self):
-        """A VM whose watches went silent counted as cut off for 20 s more."""
+    async def test_former_poller_restarts_its_watches_after_an_outage(self):
+        """Another VM becomes the poller during a store outage.
+
+        The former poller must restart its lost watches, or it counts as disconnected
+        for 20 s more.
+        """
         async with running_vm() as vm:
             vm.store.put(Collection.TARGETS, "first")
             vm.store.is_silent = True
@@ -326,8 +347,8 @@
             self.assertLess(seconds, 3 * ANSWER_S)
 
     @on_mock_clock
-    async def test_vm_off_duty_sends_no_polls(self):
-        """Polls of every VM would grow with the fleet."""
+    async def test_vm_that_is_not_the_poller_sends_no_polls(self):
+        """If every VM polled, the number of polls would grow with the fleet."""
         async with running_vm() as vm:
             vm.is_poller = False
             await trio.sleep(INTERVAL_S)
@@ -336,10 +357,10 @@
             self.assertEqual(vm.store.polls, [])
 
 
-class TestDuty(unittest.TestCase):
+class TestPollerSelection(unittest.TestCase):
     @on_mock_clock
-    async def test_next_speaker_polls_while_the_first_hears_nothing(self):
-        """Nobody of a domain polled while the store turned its first speaker away."""
+    async def test_next_speaker_polls_while_the_first_is_disconnected(self):
+        """The next speaker must poll while the store rejects the domain's first one."""
         members = make_members("vm-0")
         beat = make_heartbeat("vm-1", is_in_touch=True)
         members.take(beat, "10.0.0.1")
--- a/tests/gateway/test_logs.py
+++ b/tests/gateway/test_logs.py
@@ -10,7 +10,7 @@
 
 
 class StuckStream(io.StringIO):
-    """A pipe whose reader has stopped reading."""
+    """A pipe whose reader no longer reads."""
 
     def __init__(self):
         super().__init__()
@@ -23,7 +23,7 @@
 
 class TestDecisionLog(unittest.TestCase):
     @on_mock_clock
-    async def test_line_is_json_with_the_vm(self):
+    async def test_line_is_json_and_names_the_vm(self):
         stream = io.StringIO()
         log = DecisionLog("vm-1", "mil-a", stream)
         with log.writing():
@@ -33,11 +33,11 @@
         self.assertEqual((line["vm"], line["request_id"]), ("vm-1", "r-1"))
 
     @on_mock_clock
-    async def test_stuck_reader_delays_nobody(self):
-        """Whoever reads standard output stops reading; the pipe fills.
+    async def test_blocked_reader_does_not_block_logging(self):
+        """The reader of standard output stops reading and the pipe fills up.
 
-        A write would then wait, and with it every request of the VM. Lines
-        are dropped and counted instead.
+        A blocking write would delay every request of the VM. Lines must be dropped
+        and counted instead.
         """
         stream = StuckStream()
         log = DecisionLog("vm-1", "mil-a", stream)
@@ -49,7 +49,7 @@
             stream.released.set()
 
     @on_mock_clock
-    async def test_volume_is_bounded(self):
+    async def test_log_rate_is_limited(self):
         stream = io.StringIO()
         log = DecisionLog("vm-1", "mil-a", stream)
         with log.writing():
--- a/tests/gateway/test_state.py
+++ b/tests/gateway/test_state.py
@@ -27,8 +27,8 @@
 from tests.support import on_mock_clock
 
 
-class SilentStore:
-    """A store that was read once and then says nothing to this VM."""
+class UnresponsiveStore:
+    """A store that answers one list and then stops responding to this VM."""
 
     def __init__(self):
         self.lists = 0
@@ -36,7 +36,7 @@
     async def list(self, collection):
         self.lists += 1
         if self.lists > 1:
-            raise StoreUnavailable("turned away")
+            raise StoreUnavailable("rejected")
         return Snapshot((Item("a", 5, {}),), 7)
 
     async def watch(self, collection, revision, wait_s):
@@ -45,7 +45,7 @@
 
 class TestReplica(unittest.TestCase):
     @on_mock_clock
-    async def test_never_goes_back(self):
+    async def test_never_returns_to_an_older_revision(self):
         replica = Replica(Collection.TARGETS)
         replica.apply_snapshot(Snapshot((Item("a", 5, "new"),), 9))
         self.assertFalse(replica.apply_snapshot(Snapshot((Item("a", 3, "old"),), 4)))
@@ -54,8 +54,8 @@
         self.assertEqual(replica.items["a"].value, "new")
 
     @on_mock_clock
-    async def test_changes_overtaken_on_their_way_bring_nothing_back(self):
-        """A target that had left came back with a peer's older changes."""
+    async def test_outdated_changes_restore_no_deleted_object(self):
+        """Older changes from a peer must not restore a target that has left."""
         replica = Replica(Collection.TARGETS)
         replica.apply_snapshot(Snapshot((), 7))
         created = Change(Item("a", 8, 1), False)
@@ -65,8 +65,11 @@
         self.assertEqual(replica.items, {})
 
     @on_mock_clock
-    async def test_change_told_twice_counts_once(self):
-        """A poll beside a watch ended that watch and logged a change that was known."""
+    async def test_duplicate_change_is_applied_once(self):
+        """A poll and a watch can deliver the same change.
+
+        The poll must not restart the watch or log the change a second time.
+        """
         replica = Replica(Collection.TARGETS)
         replica.apply_snapshot(Snapshot((Item("a", 5, {}),), 7))
         told = Changes((Change(Item("a", 8, {}), True),), 8)
@@ -75,8 +78,11 @@
         self.assertEqual(len(replica.recent), 1)
 
     @on_mock_clock
-    async def test_list_overtaken_by_a_poll_confirms_the_copy(self):
-        """A VM that had been paused refused callers though its copy was complete."""
+    async def test_list_older_than_a_poll_confirms_the_replica(self):
+        """After a pause, a poll can return newer changes than the pending list.
+
+        The replica is then complete, and the VM must not refuse callers.
+        """
         replica = Replica(Collection.TARGETS, is_confirmed=False)
         replica.apply_changes(Changes((Change(Item("a", 8, {}), False),), 8))
         replica.apply_snapshot(Snapshot((), 7))
@@ -84,11 +90,11 @@
         self.assertEqual(set(replica.items), {"a"})
 
     @on_mock_clock
-    async def test_tells_changes_since_a_revision_or_nothing(self):
-        """A VM that asks for what it missed must get all of it or the whole.
+    async def test_returns_all_changes_since_a_revision_or_none(self):
+        """A VM that requests missed changes must get all of them or a snapshot.
 
-        A gap would leave a target that has left, or an old route, in its copy
-        for good.
+        A gap would permanently leave a removed target or an old route in its
+        replica.
         """
         replica = Replica(Collection.TARGETS)
         replica.apply_snapshot(Snapshot((Item("a", 5, 1),), 7))
@@ -105,10 +111,10 @@
 
     @on_mock_clock
     async def test_deletion_in_a_list_counts_as_a_change(self):
-        """A VM learns by a list that a target has left, others by no way yet.
+        """One VM detects by a list that a target has left; other VMs do not know yet.
 
-        A list shows no deletion. Peers must still hear that this VM knows
-        something newer, or they go on sending to the target.
+        A list does not contain deletions. The VM must still announce a newer
+        revision, or its peers keep sending requests to the target.
         """
         replica = Replica(Collection.TARGETS)
         items = (Item("a", 5, 1), Item("b", 6, 1))
@@ -119,15 +125,15 @@
 
 class TestFollower(unittest.TestCase):
     @on_mock_clock
-    async def test_takes_from_a_peer_what_the_store_keeps_from_it(self):
-        """The store turns one VM away and serves the others.
+    async def test_fetches_from_a_peer_while_the_store_rejects_this_vm(self):
+        """The store rejects one VM and serves the others while a key is withdrawn.
 
-        A key is withdrawn meanwhile. The VM that hears nothing would accept it
-        for as long as that lasts; a peer's heartbeat names a newer revision.
+        The rejected VM must fetch the newer revision from a peer's heartbeat, or it
+        accepts the withdrawn key until the store serves it again.
         """
         changed = []
         follower = Follower(
-            SilentStore(), Collection.CONFIGURATION, changed.append, NoLog()
+            UnresponsiveStore(), Collection.CONFIGURATION, changed.append, NoLog()
         )
 
         async def fetch(peer, collection, after):
@@ -144,9 +150,11 @@
         self.assertEqual(len(changed), 2)
 
     @on_mock_clock
-    async def test_peer_that_does_not_answer_keeps_no_other_from_being_asked(self):
-        """A change known to one peer came late while another peer was asked."""
-        follower = Follower(SilentStore(), Collection.TARGETS, lambda c: None, NoLog())
+    async def test_unresponsive_peer_does_not_block_a_fetch_from_another(self):
+        """A pending fetch from a frozen peer must not delay a change from another."""
+        follower = Follower(
+            UnresponsiveStore(), Collection.TARGETS, lambda c: None, NoLog()
+        )
         follower.replica.apply_snapshot(Snapshot((), 7))
         told = Changes((Change(Item("b", 12, "newer"), False),), 12)
 
@@ -156,32 +164,32 @@
                 raise StoreUnavailable("no answer")
             return told
 
-        async def hear(peer):
+        async def poll_peer(peer):
             while True:
                 with contextlib.suppress(StoreUnavailable):
                     await follower.catch_up(peer, 12, fetch)
                 await trio.sleep(0.01)
 
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(hear, "frozen")
+            nursery.start_soon(poll_peer, "frozen")
             await trio.sleep(0.01)
-            nursery.start_soon(hear, "sound")
+            nursery.start_soon(poll_peer, "responsive")
             await trio.sleep(1.0)
             nursery.cancel_scope.cancel()
         self.assertEqual(follower.replica.revision, 12)
 
     @on_mock_clock
-    async def test_list_sent_before_a_pause_is_read_again_after_it(self):
-        """A VM that woke served with a list that it had asked for before."""
+    async def test_list_sent_before_a_pause_is_repeated_after_it(self):
+        """After a pause, a list requested before it must not confirm the replica."""
 
-        class Slow(SilentStore):
+        class SlowStore(UnresponsiveStore):
             async def list(self, collection):
                 self.lists += 1
                 revision = 6 + self.lists
                 await trio.sleep(0.2)
                 return Snapshot((), revision)
 
-        follower = Follower(Slow(), Collection.TARGETS, lambda c: None, NoLog())
+        follower = Follower(SlowStore(), Collection.TARGETS, lambda c: None, NoLog())
         async with trio.open_nursery() as nursery:
             nursery.start_soon(follower.run)
             await trio.sleep(0.1)
@@ -194,8 +202,8 @@
             nursery.cancel_scope.cancel()
 
     @on_mock_clock
-    async def test_forgotten_history_is_read_anew(self):
-        class Forgetful(SilentStore):
+    async def test_expired_history_causes_a_new_list(self):
+        class ExpiringStore(UnresponsiveStore):
             watches = 0
 
             async def list(self, collection):
@@ -208,7 +216,9 @@
                     raise HistoryGone("gone")
                 await trio.sleep_forever()
 
-        follower = Follower(Forgetful(), Collection.TARGETS, lambda c: None, NoLog())
+        follower = Follower(
+            ExpiringStore(), Collection.TARGETS, lambda c: None, NoLog()
+        )
         async with trio.open_nursery() as nursery:
             nursery.start_soon(follower.run)
             await trio.sleep(1)
@@ -216,15 +226,15 @@
         self.assertEqual(follower.replica.items["a"].value, 2)
 
     @on_mock_clock
-    async def test_watch_is_left_to_others_while_they_are_in_touch(self):
-        """Every VM of a large fleet watches the store; each change costs a call.
+    async def test_vm_watches_only_while_no_other_vm_watches_for_it(self):
+        """If every VM of a large fleet watched, each change would cost a call per VM.
 
-        Two of a failure domain watch, the others take changes from them. When
-        the store turns these two away, the others must watch again, or a
-        withdrawn key goes on working in the whole domain.
+        Two VMs of a failure domain watch and the others fetch changes from them.
+        When the store rejects these two, the others must watch again, or a withdrawn
+        key stays valid in the whole domain.
         """
 
-        class Counting(SilentStore):
+        class CountingStore(UnresponsiveStore):
             watches = 0
 
             async def watch(self, collection, revision, wait_s):
@@ -232,9 +242,13 @@
                 await trio.sleep(wait_s)
                 return Changes((), revision)
 
-        store, covered = Counting(), [True]
+        store, watched_by_others = CountingStore(), [True]
         follower = Follower(
-            store, Collection.TARGETS, lambda c: None, NoLog(), lambda: covered[0]
+            store,
+            Collection.TARGETS,
+            lambda c: None,
+            NoLog(),
+            lambda: watched_by_others[0],
         )
         changes = Changes((Change(Item("b", 12, "newer"), False),), 12)
 
@@ -250,14 +264,14 @@
             await follower.catch_up("peer", 12, fetch, is_same_domain=True)
             self.assertEqual(trio.current_time(), began_at)
             self.assertEqual(follower.replica.items["b"].value, "newer")
-            covered[0] = False
+            watched_by_others[0] = False
             await trio.sleep(0.5)
             self.assertEqual(store.watches, 1)
             nursery.cancel_scope.cancel()
 
     @on_mock_clock
-    async def test_silent_watch_is_given_up(self):
-        store = SilentStore()
+    async def test_unanswered_watch_times_out(self):
+        store = UnresponsiveStore()
         log = NoLog()
         follower = Follower(store, Collection.TARGETS, lambda c: None, log)
         async with trio.open_nursery() as nursery:
@@ -269,7 +283,7 @@
 
 class TestMembers(unittest.TestCase):
     @on_mock_clock
-    async def test_silent_vm_is_left_out_of_lookups(self):
+    async def test_vm_without_heartbeats_is_excluded_from_lookups(self):
         members = make_members()
         members.take(make_heartbeat("vm-1"), "10.0.0.1")
         table = LookupTable(members, 5.0)
@@ -279,7 +293,7 @@
         self.assertEqual(table.addresses(lookup), ["vm-0:1"])
 
     @on_mock_clock
-    async def test_leaving_vm_is_left_out_at_once(self):
+    async def test_leaving_vm_is_excluded_from_lookups_at_once(self):
         members = make_members()
         members.take(make_heartbeat("vm-1"), "10.0.0.1")
         leaving = make_heartbeat("vm-1", 2, state=VmState.LEAVING)
@@ -288,7 +302,7 @@
         self.assertEqual(table.addresses(Lookup("h", "lombardia", "mil-a")), ["vm-0:1"])
 
     @on_mock_clock
-    async def test_late_heartbeat_changes_nothing(self):
+    async def test_outdated_heartbeat_is_ignored(self):
         members = make_members()
         members.take(make_heartbeat("vm-1", 5, state=VmState.LEAVING), "10.0.0.1")
         self.assertFalse(members.take(make_heartbeat("vm-1", 4), "10.0.0.1"))
@@ -297,13 +311,13 @@
         self.assertTrue(members.take(newer, "10.0.0.1"))
 
     @on_mock_clock
-    async def test_callers_of_a_lost_region_are_sent_elsewhere(self):
+    async def test_callers_of_a_lost_region_get_vms_of_another(self):
         members = make_members()
         table = LookupTable(members, 5.0)
         self.assertEqual(table.addresses(Lookup("h", "veneto", "v")), ["vm-0:1"])
 
     @on_mock_clock
-    async def test_heartbeat_survives_a_datagram(self):
+    async def test_heartbeat_is_unchanged_by_encoding_and_decoding(self):
         heartbeat = make_heartbeat("vm-1", deaths=(("mark", "i-1"),))
         self.assertEqual(decode(encode(heartbeat)), heartbeat)
         shapes = (b"", b"{}", b"[]", b'["h",[1]]', b'["x",[]]', b"\xff\x00")
@@ -311,8 +325,8 @@
             with self.assertRaises(ValueError, msg=bad):
                 decode(bad)
 
-    def test_compressed_datagram_cannot_fill_the_memory(self):
-        """A few bytes that unpack to gigabytes would end the process."""
+    def test_compressed_datagram_cannot_exhaust_memory(self):
+        """A small datagram that decompresses to gigabytes would crash the process."""
         bomb = zlib.compress(b" " * 50_000_000)
         self.assertLess(len(bomb), 60_000)
         with self.assertRaises(ValueError):
--- a/tests/gateway/test_state_taker.py
+++ b/tests/gateway/test_state_taker.py
@@ -19,19 +19,19 @@
 )
 from tests.support import on_mock_clock
 
-# A watch's answer to a peer, its word to others, and its answer to their question.
+# Time for a watch response to a peer, the peer's heartbeat, and its fetch response.
 ANSWERS_S = 0.1
 
 
 class VersionDecoder:
-    """Takes an object's value for the version of a configuration."""
+    """Decodes an object's value as the version of a configuration."""
 
     def configuration(self, item: Item):
         return make_configuration(version=item.value)
 
 
 class NameDecoder:
-    """Takes an object's name for the instance of a target."""
+    """Decodes an object's name as the instance of a target."""
 
     def target(self, item: Item):
         return make_entry(item.name)
@@ -56,8 +56,8 @@
 
 class TestStateTaker(unittest.TestCase):
     @on_mock_clock
-    async def test_configuration_that_is_not_put_in_force_has_a_line(self):
-        """A refused configuration looked like one that never came."""
+    async def test_ignored_configuration_is_logged(self):
+        """Without a log line, an ignored configuration looks like a missing one."""
         log = NoLog()
         follower = Follower(None, Collection.CONFIGURATION, lambda c: None, log)
         applier = make_applier(VersionDecoder(), follower, log)
@@ -71,8 +71,12 @@
         self.assertEqual((fields["version"], fields["version_in_force"]), (8, 9))
 
     @on_mock_clock
-    async def test_entry_that_ran_out_is_kept_where_a_peer_hears_the_store_first(self):
-        """A VM dropped living targets that a peer told it of before the store did."""
+    async def test_expired_entry_is_kept_if_a_peer_reconnects_to_the_store_first(self):
+        """After a store outage, a peer may report expired entries of live targets.
+
+        A VM that is still disconnected from the store must keep these targets for
+        the grace period instead of dropping them.
+        """
         log = NoLog()
         follower = Follower(None, Collection.TARGETS, lambda c: None, log)
         applier = make_applier(NameDecoder(), follower, log)
@@ -85,8 +89,12 @@
         self.assertEqual(len(applier.registry.usable("calendario", frozenset())), 1)
 
     @on_mock_clock
-    async def test_target_that_left_during_a_pause_gets_nothing_after_it(self):
-        """A VM that woke sent requests to a target that had left for 1.8 s more."""
+    async def test_target_that_left_during_a_pause_is_dropped_after_it(self):
+        """After a pause, a target that left must not be kept for the 1.8 s grace.
+
+        A store call that times out during the pause looks like a store outage, which
+        would start the grace period.
+        """
         log = NoLog()
         follower = Follower(None, Collection.TARGETS, lambda c: None, log)
         applier = make_applier(NameDecoder(), follower, log)
@@ -99,8 +107,11 @@
         self.assertEqual(len(applier.registry.usable("calendario", frozenset())), 1)
 
     @on_mock_clock
-    async def test_vm_that_leaves_watching_to_others_believes_them_at_once(self):
-        """A VM whose last own watch went silent kept each target that had left."""
+    async def test_vm_with_delegated_watch_drops_removed_targets_at_once(self):
+        """A failed last watch must not make a VM keep targets that have left.
+
+        A VM that relies on other VMs' watches applies their changes immediately.
+        """
         follower = Follower(None, Collection.TARGETS, lambda c: None, NoLog())
         applier = make_applier(NameDecoder(), follower, NoLog())
         follower.mark_connected()
