--- a/packages/gateway/plantainshed_gateway/registry.py
+++ b/packages/gateway/plantainshed_gateway/registry.py
@@ -60,7 +60,7 @@
     ejected_until : float
         When the current ejection ends.
     expired_at : float or None
-        When the entry expired, if it is still missing.
+        When the entry was found to have expired; None while it is present.
     """
 
     entry: TargetEntry
--- a/tests/gateway/test_state_taker.py
+++ b/tests/gateway/test_state_taker.py
@@ -54,7 +54,7 @@
     applier.apply(Collection.TARGETS)
 
 
-class TestStateTaker(unittest.TestCase):
+class TestStateApplier(unittest.TestCase):
     @on_mock_clock
     async def test_ignored_configuration_is_logged(self):
         """Without a log line, an ignored configuration looks like a missing one."""
