--- a/packages/gateway/plantainshed_gateway/gateway.py
+++ b/packages/gateway/plantainshed_gateway/gateway.py
@@ -177,7 +177,7 @@
             nursery.start_soon(self.freshness.run, self._poll_interval_s)
             nursery.start_soon(self.peers.send_heartbeats)
             nursery.start_soon(self.peers.receive)
-            nursery.start_soon(self._list_vms)
+            nursery.start_soon(self._sync_vms)
             nursery.start_soon(self._upkeep)
 
     def _poll_interval_s(self) -> float:
@@ -240,7 +240,7 @@
     async def _on_message(self, message: Message, ip: str):
         await self.messages.take(message, ip)
 
-    async def _list_vms(self):
+    async def _sync_vms(self):
         """Register this VM in the store, and periodically list the other VMs."""
         is_registered = False
         while True:
--- a/tests/platform/test_escapes_of_the_store.py
+++ b/tests/platform/test_escapes_of_the_store.py
@@ -10,7 +10,7 @@
 
 
 class TestAnswersOfAnotherShape(unittest.TestCase):
-    """`Follower.run` and `_list_vms` await these calls and catch `StoreUnavailable`.
+    """`Follower.run` and `_sync_vms` await these calls and catch `StoreUnavailable`.
 
     Anything else leaves their task, the nursery, and ends the process.
     """
