--- a/packages/gateway/plantainshed_gateway/cold.py
+++ b/packages/gateway/plantainshed_gateway/cold.py
@@ -10,7 +10,7 @@
 from attrs import define, field
 
 from .model import Pool
-from .registry import TargetState, cold_admitters
+from .registry import TargetState, vms_for_cold_target
 from .settings import Bounds
 
 # Fraction of the tolerance above a cold target's rate that is used. The margin covers
@@ -58,7 +58,7 @@
             return True
         tolerance = pool.warmup_per_s * (self.bounds.cold_over - 1.0)
         max_admitters = int(SAFETY_FACTOR * (tolerance + self.bounds.cold_slack))
-        admitters = cold_admitters(instance, vms, max_admitters)
+        admitters = vms_for_cold_target(instance, vms, max_admitters)
         if self.vm not in admitters:
             return False
         rate = pool.warmup_per_s / len(admitters)
--- a/packages/gateway/plantainshed_gateway/freshness.py
+++ b/packages/gateway/plantainshed_gateway/freshness.py
@@ -1,13 +1,14 @@
-"""Asking the store whether copies are complete, while watches wait for changes.
+"""Polls the store to detect changes that the watches missed.
 
-A watch that waits for a change looks like one that the store never took up, whose
-answer was lost, or whose connection went silent. A poll is answered at once, so its
-answer, or none, tells them apart. One VM of each failure domain polls; what it finds
-reaches the others as every change does.
+A watch that waits for a change cannot be distinguished from one that the store never
+accepted, whose response was lost, or whose connection is dead. The store answers a
+poll immediately, so the presence or absence of a response shows the difference. One
+VM of each failure domain polls; the changes that it finds reach the other VMs in the
+same way as all others.
 
-The store has one revision for all collections. A poll of one collection names the
-newest; as long as each revision up to it is a change that this VM knows, the other
-collections need no poll.
+The store has one revision counter for all collections, and a poll of one collection
+returns the newest revision. If this VM knows a change for every revision up to it,
+the other collections need no poll.
 """
 
 from collections.abc import Callable
@@ -19,62 +20,64 @@
 from .errors import HistoryGone, StoreUnavailable
 from .ports import Collection
 from .replication import (
-    FIRST_RETRY_S,
-    KEPT_CHANGES,
-    LONGEST_RETRY_S,
+    INITIAL_RETRY_DELAY_S,
+    MAX_KEPT_BATCHES,
+    MAX_RETRY_DELAY_S,
     PEER_GRACE_S,
     Follower,
 )
 
-# What is left of the time in which a change must be in force once a poll is due:
-# the poll's answer, and other VMs that wait for `PEER_GRACE_S` and fetch the change.
-TELL_S = 2 * PEER_GRACE_S
+# Time reserved after a poll to bring a change into force on all VMs: it covers the
+# poll's response and the other VMs, which wait for `PEER_GRACE_S` and then fetch
+# the change.
+PROPAGATION_S = 2 * PEER_GRACE_S
 
-IsOnDuty = Callable[[], bool]
+IsPoller = Callable[[], bool]
 
 
 def poll_interval_s(in_force_within_s: float) -> float:
-    """Return the pause between polls that leaves time to tell other VMs.
+    """Return the poll interval that leaves time to propagate changes to other VMs.
 
     Parameters
     ----------
     in_force_within_s : float
         Time in which a change must be in force on all VMs, in seconds.
     """
-    return max(in_force_within_s - TELL_S, in_force_within_s / 2)
+    return max(in_force_within_s - PROPAGATION_S, in_force_within_s / 2)
 
 
-class Freshness:
-    """Polls the store for what this VM's watches may have missed.
+class FreshnessPoller:
+    """Polls the store for changes that this VM's watches may have missed.
 
     Parameters
     ----------
     followers : dict of Collection to Follower
-    is_on_duty : callable
-        Tells whether this VM is the one of its failure domain that polls.
+    is_poller : callable
+        Returns whether this VM is the one that polls for its failure domain.
     vm : str
-        Spreads the polls of failure domains that start together.
+        Name of this VM; determines the offset of its first poll, so that failure
+        domains that start together do not poll at the same time.
 
     Attributes
     ----------
     confirmed_revision : int
-        Revision of the store up to which all copies were found complete.
-    is_lost : bool
-        Whether the last poll was not answered.
+        Store revision up to which all replicas were confirmed complete.
+    is_store_unreachable : bool
+        Whether the last poll failed.
     """
 
     def __init__(
         self,
         followers: dict[Collection, Follower],
-        is_on_duty: IsOnDuty,
+        is_poller: IsPoller,
         vm: str,
     ):
         self.followers = followers
-        self.is_on_duty = is_on_duty
+        self.is_poller = is_poller
         self.vm = vm
         self.confirmed_revision = 0
-        self.is_lost = False
-        self._retry_s = FIRST_RETRY_S
+        self.is_store_unreachable = False
+        self._retry_delay_s = INITIAL_RETRY_DELAY_S
 
     async def run(self, interval_s: Callable[[], float]):
         """Poll at each interval until cancelled."""
@@ -86,47 +89,49 @@
             await trio.sleep(self._pause_s(began_at, interval_s()))
 
     def _can_poll(self) -> bool:
-        # Off duty too, a lost store is polled until it answers: watches that were
-        # sent into its silence are sent again then.
+        # If the last poll failed, this VM polls until the store answers, even if
+        # another VM is the poller by then: watches that were sent during the outage
+        # are restarted at that point.
         copies = [follower.replica for follower in self.followers.values()]
-        is_wanted = self.is_lost or self.is_on_duty()
-        return is_wanted and all(copy.is_known for copy in copies)
+        is_wanted = self.is_store_unreachable or self.is_poller()
+        return is_wanted and all(copy.is_initialized for copy in copies)
 
     def _pause_s(self, began_at: float, interval_s: float) -> float:
-        if not self.is_lost:
-            self._retry_s = FIRST_RETRY_S
+        if not self.is_store_unreachable:
+            self._retry_delay_s = INITIAL_RETRY_DELAY_S
             return interval_s
-        # An unanswered poll has taken its time already; one that was turned away
-        # at once has not, and the store may be turning away what is too much.
+        # A poll that timed out has already used up its delay. A poll that was
+        # rejected immediately has not, and the store may be rejecting it because
+        # of overload, so the backoff applies.
         took_s = trio.current_time() - began_at
-        pause_s = max(FIRST_RETRY_S, self._retry_s - took_s)
-        self._retry_s = min(LONGEST_RETRY_S, 2 * self._retry_s)
+        pause_s = max(INITIAL_RETRY_DELAY_S, self._retry_delay_s - took_s)
+        self._retry_delay_s = min(MAX_RETRY_DELAY_S, 2 * self._retry_delay_s)
         return pause_s
 
     async def check(self):
-        """Find out whether the copies are complete, and complete them."""
+        """Poll once: fetch missing changes and confirm complete replicas."""
         try:
             newest = await self._newest_confirmed()
         except StoreUnavailable as error:
-            self._note_lost(str(error))
+            self._mark_disconnected(str(error))
         except HistoryGone:
-            self._note_answered()
-            self._read_again()
+            self._mark_connected()
+            self._relist_all()
         else:
-            self._note_answered()
-            self._note_complete(newest)
+            self._mark_connected()
+            self._mark_complete(newest)
 
     async def _newest_confirmed(self) -> int:
-        """Return a revision up to which all copies are complete now."""
+        """Return a revision up to which all replicas are complete now."""
         newest = await self.followers[Collection.CONFIGURATION].poll()
-        if self.is_lost or not self._knows_all_up_to(newest):
+        if self.is_store_unreachable or not self._knows_all_up_to(newest):
             await self._poll_others()
-            newest = min(newest, self._polled_up_to())
+            newest = min(newest, self._lowest_revision())
         return newest
 
-    def _polled_up_to(self) -> int:
-        # A part of the store that lags can answer one poll with an older revision
-        # than it answered another.
+    def _lowest_revision(self) -> int:
+        # A lagging replica of the store can answer one poll with an older revision
+        # than another poll got.
         return min(f.replica.revision for f in self.followers.values())
 
     async def _poll_others(self):
@@ -136,7 +141,7 @@
 
     def _knows_all_up_to(self, newest: int) -> bool:
         unconfirmed = range(self.confirmed_revision + 1, newest + 1)
-        if len(unconfirmed) > KEPT_CHANGES:
+        if len(unconfirmed) > MAX_KEPT_BATCHES:
             return False
         known = {
             change.item.revision
@@ -146,24 +151,24 @@
         }
         return known.issuperset(unconfirmed)
 
-    def _note_lost(self, problem: str):
-        self.is_lost = True
+    def _mark_disconnected(self, problem: str):
+        self.is_store_unreachable = True
         for follower in self.followers.values():
-            follower.note_lost(problem)
+            follower.mark_disconnected(problem)
 
-    def _note_answered(self):
+    def _mark_connected(self):
         for follower in self.followers.values():
-            follower.note_regained()
-            if self.is_lost:
-                # Sent into the silence, it may never be answered.
+            follower.mark_connected()
+            if self.is_store_unreachable:
+                # A watch sent during the outage may never be answered.
                 follower.restart_watch()
-        self.is_lost = False
+        self.is_store_unreachable = False
 
-    def _read_again(self):
+    def _relist_all(self):
         for follower in self.followers.values():
-            follower.list_again()
+            follower.relist()
 
-    def _note_complete(self, newest: int):
+    def _mark_complete(self, newest: int):
         self.confirmed_revision = max(self.confirmed_revision, newest)
         for follower in self.followers.values():
-            follower.replica.note_complete(newest)
+            follower.replica.mark_complete(newest)
--- a/packages/gateway/plantainshed_gateway/gateway.py
+++ b/packages/gateway/plantainshed_gateway/gateway.py
@@ -1,4 +1,4 @@
-"""One VM's part of the system: all parts, joined, without listening sockets."""
+"""Assembles the components of one gateway VM, without its listening sockets."""
 
 import contextlib
 
@@ -14,7 +14,7 @@
 from .datagrams import Message
 from .errors import BadRequest, ItemExists, StoreUnavailable
 from .forwarding import Forwarder
-from .freshness import Freshness, poll_interval_s
+from .freshness import FreshnessPoller, poll_interval_s
 from .heartbeats import Heartbeat, VmState
 from .loans import Loans
 from .lookup import LookupTable
@@ -34,29 +34,30 @@
 from .serving import Serving
 from .settings import Settings
 from .speakers import Speakers
-from .state_taker import StateTaker
-from .survey import Survey
+from .state_taker import StateApplier
+from .survey import DistanceProber
 
 FOLLOWED = (Collection.CONFIGURATION, Collection.TARGETS, Collection.EVACUATIONS)
 UPKEEP_S = 0.25
-# Pause between looks at the list of VMs in the store. Heartbeats tell sooner;
-# this finds VMs that a partition kept apart from the start.
+# Interval between reads of the VM list in the store. Heartbeats announce new VMs
+# sooner; the list finds VMs that were partitioned from this one since startup.
 LIST_VMS_S = 30.0
 REGISTER_RETRY_S = 1.0
-# Longest time after a pause in which callers are refused. Without the store
-# this VM then serves with what it knew, as it would have without the pause.
+# Maximum time after a pause in which callers are refused. If the store is still
+# unavailable then, this VM serves with its last known state, as it would have
+# without the pause.
 CATCH_UP_S = 1.5
 CATCH_UP_STEP_S = 0.02
 
 
 class Gateway:
-    """All parts of one VM.
+    """All components of one gateway VM.
 
     Attributes
     ----------
     state : VmState
     limits : ConnectionLimits
-        For callers' connections, as the configuration in force says.
+        Limits of callers' connections from the configuration in force.
     """
 
     def __init__(self, context: Context):
@@ -99,7 +100,7 @@
             self.round_trips,
         )
         self.forwarder = Forwarder(surroundings.wire, self.connections, context.metrics)
-        self.survey = Survey(
+        self.distance_prober = DistanceProber(
             self.registry, self.connections, self.round_trips, context.log
         )
         self.serving = Serving(
@@ -123,10 +124,10 @@
             )
             for collection in FOLLOWED
         }
-        self.freshness = Freshness(
+        self.freshness = FreshnessPoller(
             self.followers, self.speakers.is_first_in_touch, settings.vm
         )
-        self.state_taker = StateTaker(
+        self.state_applier = StateApplier(
             surroundings.decoder,
             self.followers,
             self.admission,
@@ -145,12 +146,12 @@
         )
         self._nursery: trio.Nursery | None = None
 
-    def take_settings(self, new: Settings) -> Settings:
-        """Take over what may change while the daemon runs: bounds and seeds.
+    def apply_settings(self, new: Settings) -> Settings:
+        """Apply the settings that may change at run time: bounds and seeds.
 
-        Returns the settings in force. The rest stays as it was at the start: told
-        to other VMs and to callers, an address on which nothing listens yet would
-        draw requests that are lost.
+        Returns the settings in force. All other settings need a restart: a changed
+        address would be announced to other VMs and callers although nothing listens
+        on it yet, and requests to it would be lost.
         """
         settings = evolve(self.context.settings, bounds=new.bounds, seeds=new.seeds)
         self.context.settings = settings
@@ -163,11 +164,11 @@
 
     @property
     def replicas(self):
-        """This VM's copies, by collection."""
+        """This VM's replicas, by collection."""
         return {name: follower.replica for name, follower in self.followers.items()}
 
     async def run(self, task_status=trio.TASK_STATUS_IGNORED):
-        """Run all parts until cancelled; started once messages can be sent."""
+        """Run all components until cancelled; started once messages can be sent."""
         async with self.peers.open(), trio.open_nursery() as nursery:
             task_status.started()
             self._nursery = self.messages.nursery = nursery
@@ -176,17 +177,17 @@
             nursery.start_soon(self.freshness.run, self._poll_interval_s)
             nursery.start_soon(self.peers.send_heartbeats)
             nursery.start_soon(self.peers.receive)
-            nursery.start_soon(self._know_vms)
+            nursery.start_soon(self._sync_vms)
             nursery.start_soon(self._upkeep)
 
     def _poll_interval_s(self) -> float:
         return poll_interval_s(self.context.settings.bounds.in_force_within_s)
 
     def _on_change(self, collection: Collection):
-        self.state_taker.take(collection)
+        self.state_applier.apply(collection)
         self._become_ready()
         if self._nursery is not None and self.speakers.is_speaker:
-            # The others of this failure domain have changes from here.
+            # The other VMs of this failure domain get changes from this speaker.
             self._nursery.start_soon(self.peers.send_now, False)
 
     def _become_ready(self):
@@ -194,11 +195,12 @@
             return
         if self.admission.configuration is None:
             return
-        if all(replica.is_known for replica in self.replicas.values()):
+        if all(replica.is_initialized for replica in self.replicas.values()):
             self.state = VmState.READY
             self.serving.is_ready.set()
             if self._nursery is not None:
-                # Others leave a part of quotas to it, and name it, from then on.
+                # From this heartbeat on, other VMs reserve a share of the quotas for
+                # this VM and include it in look-ups.
                 self._nursery.start_soon(self.peers.send_now)
             self.log.event(
                 "ready",
@@ -206,7 +208,7 @@
                 targets=len(self.registry.states),
             )
 
-    # Other VMs.
+    # Communication with other VMs.
 
     def _own_heartbeat(self, newest: dict, use: dict, known: int = 1) -> Heartbeat:
         settings = self.context.settings
@@ -220,7 +222,7 @@
             state=self.state,
             known=known,
             weight=settings.link_mbps,
-            is_in_touch=all(f.is_in_touch for f in self.followers.values()),
+            is_in_touch=all(f.is_connected for f in self.followers.values()),
             callers=settings.listen.callers,
             control=settings.listen.control,
             newest=newest,
@@ -238,8 +240,8 @@
     async def _on_message(self, message: Message, ip: str):
         await self.messages.take(message, ip)
 
-    async def _know_vms(self):
-        """Register this VM in the store, and learn which others there are."""
+    async def _sync_vms(self):
+        """Register this VM in the store, and periodically list the other VMs."""
         is_registered = False
         while True:
             pause_s = LIST_VMS_S
@@ -248,12 +250,12 @@
                     await self._register()
                     is_registered = True
                 snapshot = await self.context.surroundings.store.list(
-                    Collection.VMS, may_be_old=True
+                    Collection.VMS, allow_stale=True
                 )
                 is_first = not self.members.is_listed
                 self.members.is_listed = True
                 for item in snapshot.items:
-                    self._take_listed(item)
+                    self._add_listed_vm(item)
                 if is_first:
                     await self.peers.send_now()
             except StoreUnavailable as error:
@@ -261,7 +263,7 @@
                 pause_s = REGISTER_RETRY_S
             await trio.sleep(pause_s)
 
-    def _take_listed(self, item: Item):
+    def _add_listed_vm(self, item: Item):
         value = item.value if isinstance(item.value, dict) else {}
         ip, failure_domain = value.get("ip"), value.get("failure_domain")
         if isinstance(ip, str) and isinstance(failure_domain, str):
@@ -276,8 +278,8 @@
         try:
             await store.create(Collection.VMS, settings.vm, value)
         except ItemExists as error:
-            # An earlier run of this VM; a machine that replaces it under its
-            # name can have another address.
+            # The entry is from an earlier run. A replacement machine with the same
+            # name may have a different address.
             if error.item is not None and error.item.value != value:
                 with contextlib.suppress(ItemExists):
                     await store.replace(Collection.VMS, error.item, value)
@@ -291,9 +293,9 @@
             if paused_s:
                 await self._catch_up_after(paused_s)
             self.quotas.divide()
-            self.registry.drop_lapsed()
+            self.registry.drop_expired()
             self.connections.close_idle(set(self.registry.states))
-            self.survey.measure_unknown(self._nursery)
+            self.distance_prober.measure_unknown(self._nursery)
             self._measure()
             for vm in self.members.forget_gone():
                 self.log.event("vm forgotten", peer=vm)
@@ -305,16 +307,19 @@
         for collection, replica in self.replicas.items():
             labels = {"collection": collection.value}
             metrics.copy_revision.set(labels, replica.revision)
-            if replica.is_known:
-                metrics.copy_age.set(labels, trio.current_time() - replica.heard_at)
+            if replica.is_initialized:
+                metrics.copy_age.set(labels, trio.current_time() - replica.confirmed_at)
 
     async def _catch_up_after(self, paused_s: float):
-        """Learn what changed while this process stood still."""
+        """After a process pause, refuse callers until the replicas are up to date.
+
+        The time is limited to `CATCH_UP_S`.
+        """
         self.log.event("was paused", seconds=round(paused_s, 3))
         self.serving.is_caught_up = False
-        self.state_taker.note_pause()
+        self.state_applier.note_pause()
         for follower in self.followers.values():
-            follower.list_again()
+            follower.relist()
         with trio.move_on_after(CATCH_UP_S):
             while not all(replica.is_confirmed for replica in self.replicas.values()):
                 await trio.sleep(CATCH_UP_STEP_S)
@@ -324,10 +329,10 @@
             confirmed=[n for n, copy in self.replicas.items() if copy.is_confirmed],
         )
 
-    # Questions from outside.
+    # HTTP handlers.
 
     async def answer_lookup(self, exchange: Exchange):
-        """Answer which VMs a caller is to use."""
+        """Answer a caller's look-up with the addresses of VMs to use."""
         wire = self.context.surroundings.wire
         try:
             lookup = wire.read_lookup(exchange.request)
@@ -337,21 +342,21 @@
         addresses = self.lookup.addresses(lookup)
         self.context.metrics.lookups.inc({"region": lookup.region})
         if not addresses:
-            # An answer without addresses would send the caller nowhere.
+            # An empty address list would leave the caller without any VM to use.
             await exchange.reply(503, [], b"no VM takes callers now\n")
             return
         body = wire.write_lookup(addresses, self.lookup.ttl_s)
         await exchange.reply(200, [(b"content-type", b"application/json")], body)
 
     async def answer_readiness(self, exchange: Exchange):
-        """Answer whether this VM takes callers."""
+        """Answer a readiness check."""
         if self.state is VmState.READY:
             await exchange.reply(200, [], b"ready\n")
         else:
             await exchange.reply(503, [], f"{self.state}\n".encode())
 
     async def announce_leaving(self):
-        """Tell all VMs that this one is to be left out of look-ups."""
+        """Announce to all VMs that look-ups must no longer include this VM."""
         self.state = VmState.LEAVING
         await self.peers.send_now()
 
--- a/packages/gateway/plantainshed_gateway/placement.py
+++ b/packages/gateway/plantainshed_gateway/placement.py
@@ -270,7 +270,7 @@
     Healthy cold targets that rank before the last owner are returned too; if there
     are fewer than `count` owners, all healthy cold targets are.
     """
-    healthy = [state for state in ranking if not state.is_out]
+    healthy = [state for state in ranking if not state.is_ejected]
     owners = [state for state in healthy if not state.is_cold][:count]
     last = healthy.index(owners[-1]) if len(owners) == count else len(healthy)
     cold = [state for state in healthy[:last] if state.is_cold]
--- a/packages/gateway/plantainshed_gateway/replication.py
+++ b/packages/gateway/plantainshed_gateway/replication.py
@@ -1,11 +1,11 @@
-"""Keeping a copy of a collection of the store, from the store or from peers.
-
-`Follower.run` lists a collection once. Then a few VMs of each failure domain
-wait for changes at the store, and the others take them from these: each watch is
-a call that has its price, and the store's rates grow more slowly than the fleet.
-While the store turns a VM away, other VMs may still be served: heartbeats and news
-name the newest change that a VM knows, and `catch_up` brings this one up to it.
-A copy never goes back to an older revision.
+"""Replicates the store's collections from the store or from peers.
+
+`Follower.run` lists a collection once. After that, a few VMs of each failure domain
+watch the store and the other VMs fetch the changes from them: each watch costs a
+call, and the store's rate limits grow more slowly than the fleet. The store may
+reject one VM while it still serves others. Heartbeats and domain news therefore
+carry the newest revision that a VM knows, and `catch_up` fetches up to that revision
+from a peer. A replica never returns to an older revision.
 """
 
 from collections import deque
@@ -18,105 +18,103 @@
 from .logs import DecisionLog
 from .ports import Changes, Collection, Item, Snapshot, Store
 
-# First and longest pause between calls to a store that does not answer. It is
-# back within the time in which a configuration must be in force, 2 s.
-FIRST_RETRY_S = 0.1
-LONGEST_RETRY_S = 0.8
-# How long one watch waits for a change, and how much longer its answer may
+# Initial and maximum delay between retries of failed calls to the store. The
+# maximum is below the 2 s in which a configuration must be in force.
+INITIAL_RETRY_DELAY_S = 0.1
+MAX_RETRY_DELAY_S = 0.8
+# How long one watch waits for a change, and how much longer its response may
 # take before the watch counts as dead. Polls (`freshness`) and peers
-# (`PEER_GRACE_S`) notice a dead one sooner; this bounds it without them.
-WATCH_S = 20.0
+# (`PEER_GRACE_S`) usually detect a dead watch earlier; this is the upper bound.
+WATCH_TIMEOUT_S = 20.0
 WATCH_MARGIN_S = 2.0
-# Pause after a change before the next watch. Changes come in clumps, and each
-# watch is a call that has its price; it is short beside the 2 s in which a
-# change must be in force.
+# Pause after a change before the next watch. Changes come in bursts and each
+# watch costs a call. The pause is short compared with the 2 s in which a change
+# must be in force.
 COALESCE_S = 0.2
-# How long a watch may lag behind a peer's before the peer is asked: longer
-# than a watch's answer takes between regions (about 30 ms), and short beside
-# the 2 s in which a change must be in force.
+# How long the own watch may lag behind a peer before this VM fetches from the
+# peer: longer than a watch response takes between regions (about 30 ms), and
+# short compared with the 2 s in which a change must be in force.
 PEER_GRACE_S = 0.25
-# The same for a VM that has its changes from its failure domain's speakers. News
-# of other domains comes half a second after theirs; what is missing then was not
-# told by them.
-RESTING_GRACE_S = 0.5
-# Peers that are asked for one collection at a time.
-MOST_ASKED = 2
-# Time after a start in which the VMs of the own failure domain are heard, and it
-# is known whether others watch the store.
-SETTLE_S = 1.0
-# How often a VM that leaves watching to others looks whether they still do.
-REST_S = 0.25
-# Batches of changes that are kept for others; some minutes of usual changes.
-KEPT_CHANGES = 64
+# The same grace period for a VM that gets changes from the speakers of its failure
+# domain. News of other domains arrives half a second after theirs, so a change
+# that is still missing then did not come from the speakers.
+DELEGATED_GRACE_S = 0.5
+# Maximum number of peers from which one collection is fetched at the same time.
+MAX_CONCURRENT_FETCHES = 2
+# Time after startup in which heartbeats of the own failure domain arrive and show
+# whether other VMs watch the store.
+HEARTBEAT_WAIT_S = 1.0
+# How often a VM that relies on other VMs' watches checks that they still watch.
+DELEGATION_CHECK_S = 0.25
+# Batches of changes kept for peers; a few minutes of usual changes.
+MAX_KEPT_BATCHES = 64
 
 Listener = Callable[[Collection], None]
 FetchFromPeer = Callable[[str, Collection, int], Awaitable[Snapshot | Changes]]
-IsCovered = Callable[[], bool]
+IsWatchedByOthers = Callable[[], bool]
 
 
 @define
 class Replica:
-    """A copy of one collection.
+    """A local copy of one collection.
 
     Attributes
     ----------
     items : dict of str to Item
     revision : int
-        Up to which revision of the store the copy is complete; 0 before the
-        first.
+        Store revision up to which the copy is complete; 0 before the first list.
     changed_at_revision : int
-        Revision of the newest change that is known.
-    heard_at : float
-        When the store, or a peer, last confirmed it.
+        Revision of the newest known change.
+    confirmed_at : float
+        When the store or a peer last confirmed the copy.
     is_confirmed : bool
-        False after a pause of this process, until it is read again.
+        False after a pause of this process until the collection is listed again.
     recent : deque of (int, Changes)
-        The last changes, each with the revision that the copy had before.
+        The last batches of changes, each with the replica's revision before it.
     """
 
     collection: Collection
     items: dict[str, Item] = field(factory=dict)
     revision: int = 0
     changed_at_revision: int = 0
-    heard_at: float = float("-inf")
+    confirmed_at: float = float("-inf")
     is_confirmed: bool = True
     recent: deque[tuple[int, Changes]] = field(
-        factory=lambda: deque(maxlen=KEPT_CHANGES)
+        factory=lambda: deque(maxlen=MAX_KEPT_BATCHES)
     )
 
     @property
-    def is_known(self) -> bool:
-        """Whether any state has ever been taken."""
+    def is_initialized(self) -> bool:
+        """Whether the replica has ever received any state."""
         return self.revision > 0
 
-    def take_snapshot(self, snapshot: Snapshot) -> bool:
-        """Replace the copy by a newer one; tell whether anything changed."""
-        # An overtaken one too: the copy is complete beyond what was read.
+    def apply_snapshot(self, snapshot: Snapshot) -> bool:
+        """Replace the copy by a newer snapshot; return whether anything changed."""
+        # This also holds for an older snapshot: the copy is complete beyond it.
         self.is_confirmed = True
         if snapshot.revision < self.revision:
             return False
         items = {item.name: item for item in snapshot.items}
-        changed = items != self.items or not self.is_known
+        changed = items != self.items or not self.is_initialized
         if set(self.items) - set(items):
-            # A deletion has no revision of its own that a list would show.
+            # A list does not show the revision of a deletion.
             self.changed_at_revision = snapshot.revision
-        # At least one, also for a collection that never had an object: a VM
-        # that starts while the store is away has nothing, and could otherwise
-        # not tell that another VM has a whole, empty copy.
+        # The default of 1 marks a complete but empty copy. Without it, a VM that
+        # starts during a store outage could not detect that a peer has one.
         newest = max((item.revision for item in items.values()), default=1)
         self.changed_at_revision = max(self.changed_at_revision, newest)
         self.items = items
         self.revision = snapshot.revision
         self.recent.clear()
-        self.heard_at = trio.current_time()
+        self.confirmed_at = trio.current_time()
         return changed
 
-    def take_changes(self, changes: Changes) -> bool:
-        """Apply what a watch, a poll or a peer told; tell whether anything changed."""
+    def apply_changes(self, changes: Changes) -> bool:
+        """Apply the changes of a watch, poll or peer; return whether any applied."""
         if changes.revision < self.revision:
-            # Overtaken on its way: an object deleted since would come back.
+            # Outdated in transit: applying it could restore a deleted object.
             return False
-        self.heard_at = trio.current_time()
+        self.confirmed_at = trio.current_time()
         if changes.revision == self.revision:
             return False
         changed = False
@@ -136,13 +134,13 @@
         self.revision = max(self.revision, changes.revision)
         return changed
 
-    def note_complete(self, revision: int):
-        """Note that nothing of this collection changed up to a revision."""
+    def mark_complete(self, revision: int):
+        """Record that the collection has no further changes up to a revision."""
         self.revision = max(self.revision, revision)
-        self.heard_at = trio.current_time()
+        self.confirmed_at = trio.current_time()
 
     def changes_since(self, revision: int) -> Changes | None:
-        """Return what changed after a revision, None if that is not kept."""
+        """Return the changes after a revision, or None if they are no longer kept."""
         if not self.recent or revision < self.recent[0][0]:
             return None
         changes = [
@@ -155,17 +153,18 @@
 
 
 class Follower:
-    """Follows one collection.
+    """Keeps the replica of one collection up to date.
 
     Parameters
     ----------
     store : Store
     collection : Collection
     listener : callable
-        Called after each change of the copy.
+        Called after each change of the replica.
     log : DecisionLog
-    is_covered : callable, optional
-        Tells whether other VMs watch the store for this one. Without it none do.
+    is_watched_by_others : callable, optional
+        Returns whether other VMs watch the store for this one. If it is omitted,
+        this VM always watches the store itself.
     """
 
     def __init__(
@@ -174,106 +173,107 @@
         collection: Collection,
         listener: Listener,
         log: DecisionLog,
-        is_covered: IsCovered | None = None,
+        is_watched_by_others: IsWatchedByOthers | None = None,
     ):
-        self._is_covered = is_covered
+        self._is_watched_by_others = is_watched_by_others
         self.store = store
         self.collection = collection
         self.listener = listener
         self.log = log
         self.replica = Replica(collection)
-        self.is_in_touch = False
-        self.lost_at: float | None = None
-        self.regained_at = float("-inf")
-        self._retry_s = FIRST_RETRY_S
-        self._must_list = True
-        self.is_resting = False
-        self._is_settled = False
-        self._watching: trio.CancelScope | None = None
-        self._is_overtaken = False
-        # Peers that are being asked, and when each is, or was, sent the question.
-        self._asked: dict[str, float] = {}
+        self.is_connected = False
+        self.disconnected_at: float | None = None
+        self.reconnected_at = float("-inf")
+        self._retry_delay_s = INITIAL_RETRY_DELAY_S
+        self._needs_list = True
+        self.is_watch_delegated = False
+        self._has_waited_for_heartbeats = False
+        self._watch_scope: trio.CancelScope | None = None
+        self._is_watch_superseded = False
+        # Peers with a pending fetch, and when each request is or was sent.
+        self._fetch_started_at: dict[str, float] = {}
 
     async def run(self):
-        """Follow the collection until cancelled."""
+        """List the collection and follow its changes until cancelled."""
         while True:
             try:
-                while self._must_list:
+                while self._needs_list:
                     await self._list()
-                if self._is_covered and not self._is_settled:
-                    await self._settle()
-                if self._is_covered and self._is_covered():
-                    await self._rest()
+                if self._is_watched_by_others and not self._has_waited_for_heartbeats:
+                    await self._wait_for_heartbeats()
+                if self._is_watched_by_others and self._is_watched_by_others():
+                    await self._delegate_watch()
                 else:
                     await self._watch()
             except HistoryGone:
-                self._must_list = True
+                self._needs_list = True
                 self.log.event(
                     "store history gone", collection=self.collection, action="list"
                 )
             except StoreUnavailable as error:
-                self.note_lost(str(error))
-                await trio.sleep(self._retry_s)
-                self._retry_s = min(LONGEST_RETRY_S, 2 * self._retry_s)
+                self.mark_disconnected(str(error))
+                await trio.sleep(self._retry_delay_s)
+                self._retry_delay_s = min(MAX_RETRY_DELAY_S, 2 * self._retry_delay_s)
 
     async def _list(self):
-        self._must_list = False
+        self._needs_list = False
         try:
             snapshot = await self.store.list(self.collection)
         except StoreUnavailable:
-            self._must_list = True
+            self._needs_list = True
             raise
-        self._retry_s = FIRST_RETRY_S
-        self.note_regained()
-        is_changed = self.replica.take_snapshot(snapshot)
-        # Not if this process was paused meanwhile: the answer can be from before.
-        self.replica.is_confirmed = not self._must_list
+        self._retry_delay_s = INITIAL_RETRY_DELAY_S
+        self.mark_connected()
+        is_changed = self.replica.apply_snapshot(snapshot)
+        # If the process was paused during the call, the response may predate the
+        # pause and does not confirm the copy.
+        self.replica.is_confirmed = not self._needs_list
         if is_changed:
             self.listener(self.collection)
 
-    async def _settle(self):
-        """Give the first heartbeats time to tell whether others watch."""
-        self._is_settled = True
-        with trio.move_on_after(SETTLE_S):
-            while not self._is_covered() and not self._must_list:
-                await trio.sleep(REST_S)
+    async def _wait_for_heartbeats(self):
+        """Wait for the first heartbeats, which show whether other VMs watch."""
+        self._has_waited_for_heartbeats = True
+        with trio.move_on_after(HEARTBEAT_WAIT_S):
+            while not self._is_watched_by_others() and not self._needs_list:
+                await trio.sleep(DELEGATION_CHECK_S)
 
-    async def _rest(self):
-        """Leave watching to other VMs for as long as they do."""
-        self.is_resting = True
+    async def _delegate_watch(self):
+        """Rely on other VMs' watches while they watch the store."""
+        self.is_watch_delegated = True
         self.log.event("store watched by others", collection=self.collection)
-        while self._is_covered() and not self._must_list:
-            await trio.sleep(REST_S)
-        self.is_resting = False
+        while self._is_watched_by_others() and not self._needs_list:
+            await trio.sleep(DELEGATION_CHECK_S)
+        self.is_watch_delegated = False
         self.log.event("store watched here", collection=self.collection)
 
     async def _watch(self):
-        with trio.move_on_after(WATCH_S + WATCH_MARGIN_S) as scope:
-            self._watching, self._is_overtaken = scope, False
+        with trio.move_on_after(WATCH_TIMEOUT_S + WATCH_MARGIN_S) as scope:
+            self._watch_scope, self._is_watch_superseded = scope, False
             changes = await self.store.watch(
-                self.collection, self.replica.revision, WATCH_S
+                self.collection, self.replica.revision, WATCH_TIMEOUT_S
             )
-        self._watching = None
+        self._watch_scope = None
         if scope.cancelled_caught:
-            if self._is_overtaken:
-                self._is_overtaken = False
+            if self._is_watch_superseded:
+                self._is_watch_superseded = False
                 return
-            raise StoreUnavailable("the watch went silent")
-        self._retry_s = FIRST_RETRY_S
-        self.note_regained()
-        if self.replica.take_changes(changes):
+            raise StoreUnavailable("watch timed out without a response")
+        self._retry_delay_s = INITIAL_RETRY_DELAY_S
+        self.mark_connected()
+        if self.replica.apply_changes(changes):
             self.listener(self.collection)
             await trio.sleep(COALESCE_S)
 
     async def poll(self) -> int:
-        """Take what the store knows and this copy lacks; return the store's revision.
+        """Fetch missing changes from the store without waiting; return its revision.
 
         Raises `StoreUnavailable` or `HistoryGone`.
         """
         before = self.replica.revision
         changes = await self.store.watch(self.collection, before, 0.0)
-        self.note_regained()
-        if self.replica.take_changes(changes):
+        self.mark_connected()
+        if self.replica.apply_changes(changes):
             self.log.event(
                 "changes found by a poll",
                 collection=self.collection,
@@ -284,61 +284,61 @@
             self.restart_watch()
         return changes.revision
 
-    def note_regained(self):
-        """Note that the store answers this VM."""
-        if self.is_in_touch:
+    def mark_connected(self):
+        """Record that the store answers this VM."""
+        if self.is_connected:
             return
-        self.is_in_touch = True
-        if self.lost_at is not None:
-            self.regained_at = trio.current_time()
+        self.is_connected = True
+        if self.disconnected_at is not None:
+            self.reconnected_at = trio.current_time()
         self.log.event(
             "store regained",
             collection=self.collection,
             revision=self.replica.revision,
-            lost_for_s=self._lost_for_s(),
+            lost_for_s=self._disconnected_for_s(),
         )
-        self.lost_at = None
+        self.disconnected_at = None
 
-    def note_lost(self, problem: str):
-        """Note that the store does not answer this VM."""
-        if self.lost_at is None:
-            self.lost_at = trio.current_time()
+    def mark_disconnected(self, problem: str):
+        """Record that the store does not answer this VM."""
+        if self.disconnected_at is None:
+            self.disconnected_at = trio.current_time()
             self.log.event(
                 "store lost",
                 collection=self.collection,
                 revision=self.replica.revision,
                 problem=problem,
             )
-        self.is_in_touch = False
+        self.is_connected = False
 
-    def _lost_for_s(self) -> float:
-        if self.lost_at is None:
+    def _disconnected_for_s(self) -> float:
+        if self.disconnected_at is None:
             return 0.0
-        return round(trio.current_time() - self.lost_at, 3)
+        return round(trio.current_time() - self.disconnected_at, 3)
 
     async def catch_up(
-        self, peer: str, newest: int, fetch: FetchFromPeer, is_near: bool = False
+        self, peer: str, newest: int, fetch: FetchFromPeer, is_same_domain: bool = False
     ):
-        """Take the copy of a peer that knows a newer change than this VM.
+        """Fetch the state of a peer that knows a newer change than this VM.
 
-        A watch can go silent, or the store can turn this VM away and tell the
-        others: callers here would meet old routes, old keys and targets that
-        have left, for as long as that lasts. What a peer knows came from the
-        store, so taking it is as good as having heard it.
+        A watch can stop responding, or the store can reject this VM while it serves
+        others. Until that ends, this VM would use outdated routes, keys and targets.
+        A peer's state comes from the store, so it is as valid as the store's own
+        response.
         """
-        if self._is_answer_due(peer) or self.replica.revision >= newest:
+        if self._must_wait_to_fetch(peer) or self.replica.revision >= newest:
             return
         grace_s = PEER_GRACE_S
-        if self.is_resting:
-            grace_s = 0.0 if is_near else RESTING_GRACE_S
-        self._asked[peer] = trio.current_time() + grace_s
+        if self.is_watch_delegated:
+            grace_s = 0.0 if is_same_domain else DELEGATED_GRACE_S
+        self._fetch_started_at[peer] = trio.current_time() + grace_s
         try:
             await trio.sleep(grace_s)
             before = self.replica.revision
             if before >= newest:
                 return
-            told = await fetch(peer, self.collection, before)
-            changed = self._take_told(told)
+            fetched = await fetch(peer, self.collection, before)
+            changed = self._apply_fetched(fetched)
             self.log.event(
                 "state taken from peer",
                 collection=self.collection,
@@ -351,31 +351,38 @@
                 self.listener(self.collection)
             self.restart_watch()
         finally:
-            del self._asked[peer]
+            del self._fetch_started_at[peer]
 
-    def _is_answer_due(self, peer: str) -> bool:
-        """Tell whether to wait for those asked before this peer is asked too.
+    def _must_wait_to_fetch(self, peer: str) -> bool:
+        """Return whether pending fetches must be awaited before asking this peer.
 
-        One that does not answer must not keep this VM from another that would.
+        After `PEER_GRACE_S`, one unresponsive peer no longer prevents a fetch from
+        another.
         """
-        if peer in self._asked or len(self._asked) >= MOST_ASKED:
+        if (
+            peer in self._fetch_started_at
+            or len(self._fetch_started_at) >= MAX_CONCURRENT_FETCHES
+        ):
             return True
         now = trio.current_time()
-        return any(now - asked_at < PEER_GRACE_S for asked_at in self._asked.values())
+        return any(
+            now - started_at < PEER_GRACE_S
+            for started_at in self._fetch_started_at.values()
+        )
 
-    def _take_told(self, told: Snapshot | Changes) -> bool:
-        if isinstance(told, Snapshot):
-            return self.replica.take_snapshot(told)
-        return self.replica.take_changes(told)
+    def _apply_fetched(self, fetched: Snapshot | Changes) -> bool:
+        if isinstance(fetched, Snapshot):
+            return self.replica.apply_snapshot(fetched)
+        return self.replica.apply_changes(fetched)
 
     def restart_watch(self):
-        """End a watch that waits for what is past."""
-        if self._watching is not None:
-            self._is_overtaken = True
-            self._watching.cancel()
-
-    def list_again(self):
-        """Read the whole collection again: its copy may be old or incomplete."""
-        self._must_list = True
+        """Cancel the current watch so that a new one starts at the newest revision."""
+        if self._watch_scope is not None:
+            self._is_watch_superseded = True
+            self._watch_scope.cancel()
+
+    def relist(self):
+        """Request a full list because the copy may be outdated or incomplete."""
+        self._needs_list = True
         self.replica.is_confirmed = False
         self.restart_watch()
--- a/packages/gateway/plantainshed_gateway/state_taker.py
+++ b/packages/gateway/plantainshed_gateway/state_taker.py
@@ -1,7 +1,7 @@
-"""Puts what the store's collections say in force: routes, targets, evacuations.
+"""Applies the store's collections: configuration, targets and evacuations.
 
-An object that cannot be read changes nothing: a log line names its field, and
-what was in force goes on.
+An object that cannot be decoded is skipped and logged with the invalid field; the
+state that was in force before stays in force.
 """
 
 import trio
@@ -16,13 +16,13 @@
 from .registry import Registry
 from .replication import PEER_GRACE_S, Follower
 
-# How long after the store came back targets' entries may still be on their way
-# back; they are written again within two seconds.
-LAPSE_S = 2.2
+# How long after a store outage expired entries of live targets may still be
+# missing; targets write them again within two seconds.
+REREGISTRATION_S = 2.2
 
 
-class StateTaker:
-    """Decodes copies of collections and hands them to the parts that decide.
+class StateApplier:
+    """Decodes replicas and updates admission, the registry and connection limits.
 
     Parameters
     ----------
@@ -31,7 +31,7 @@
     admission : Admission
     registry : Registry
     limits : ConnectionLimits
-        Of callers' connections; set as the configuration says.
+        Limits of callers' connections; updated from the configuration.
     log : DecisionLog
     """
 
@@ -53,24 +53,25 @@
         self._paused_at = float("-inf")
 
     def note_pause(self):
-        """Note that this process stood still until now.
+        """Record that this process was paused until now.
 
-        Then what vanished from the store can have left long ago, also if a call
-        that ran into its time meanwhile makes the store look lost and regained.
+        Entries that are missing after a pause may have been removed long ago. A
+        store call that timed out during the pause makes it look like a store
+        outage, so the grace period for expired entries does not apply.
         """
         self._paused_at = trio.current_time()
 
-    def take(self, collection: Collection):
-        """Put a collection's newest copy in force."""
+    def apply(self, collection: Collection):
+        """Apply the newest replica of a collection."""
         if collection is Collection.CONFIGURATION:
-            self._take_configuration()
+            self._apply_configuration()
         elif collection is Collection.TARGETS:
-            self._take_targets()
+            self._apply_targets()
         elif collection is Collection.EVACUATIONS:
-            self._take_evacuations()
+            self._apply_evacuations()
 
     def _decoded(self, collection: Collection, decode) -> list:
-        """Return a collection's usable objects, decoded."""
+        """Return the decoded valid objects of a collection."""
         decoded = []
         for item in self.followers[collection].replica.items.values():
             try:
@@ -85,13 +86,13 @@
                 )
         return decoded
 
-    def _take_configuration(self):
+    def _apply_configuration(self):
         decode = self.decoder.configuration
         for configuration in self._decoded(Collection.CONFIGURATION, decode):
             if configuration is not None:
-                self._put_in_force(configuration)
+                self._activate(configuration)
 
-    def _put_in_force(self, configuration: Configuration):
+    def _activate(self, configuration: Configuration):
         known = self.admission.configuration
         if known is not None and configuration.version <= known.version:
             self.log.event(
@@ -102,9 +103,11 @@
             )
             return
         self.admission.configuration = configuration
-        routes = [r for by in configuration.routes.values() for r in by.values()]
+        routes = [
+            r for by_prefix in configuration.routes.values() for r in by_prefix.values()
+        ]
         self.admission.splitter.retain({(r.name, r.pools) for r in routes})
-        self.registry.take_configuration(configuration)
+        self.registry.update_configuration(configuration)
         self.admission.quotas.workspaces = {
             workspace.name: workspace
             for workspace in configuration.workspace_by_key.values()
@@ -119,24 +122,27 @@
             routes=len(routes),
         )
 
-    def _take_targets(self):
+    def _apply_targets(self):
         follower = self.followers[Collection.TARGETS]
         entries = self._decoded(Collection.TARGETS, self.decoder.target)
         before = {name: s.entry for name, s in self.registry.states.items()}
-        has_lost_store = not follower.is_in_touch and not follower.is_resting
+        has_lost_store = not follower.is_connected and not follower.is_watch_delegated
         if not has_lost_store or self._was_paused():
-            self.registry.take_entries(entries, self._is_just_back(follower))
+            self.registry.update_entries(entries, self._has_just_reconnected(follower))
         else:
-            # A peer told it, and may have done so just after an outage for all.
-            self.registry.take_entries(entries, True, told_after_s=PEER_GRACE_S)
+            # The change came from a peer, possibly right after a store outage that
+            # affected all VMs.
+            self.registry.update_entries(
+                entries, True, notification_delay_s=PEER_GRACE_S
+            )
         self._log_targets(before, follower.replica.revision)
 
-    def _is_just_back(self, follower: Follower) -> bool:
-        since_back_s = trio.current_time() - follower.regained_at
-        return since_back_s < LAPSE_S and not self._was_paused()
+    def _has_just_reconnected(self, follower: Follower) -> bool:
+        since_reconnect_s = trio.current_time() - follower.reconnected_at
+        return since_reconnect_s < REREGISTRATION_S and not self._was_paused()
 
     def _was_paused(self) -> bool:
-        return trio.current_time() - self._paused_at < LAPSE_S
+        return trio.current_time() - self._paused_at < REREGISTRATION_S
 
     def _log_targets(self, before: dict[str, TargetEntry], revision: int):
         after = self.registry.states
@@ -157,7 +163,7 @@
                 known=len(after),
             )
 
-    def _take_evacuations(self):
+    def _apply_evacuations(self):
         decode = self.decoder.evacuated_domain
         domains = set(self._decoded(Collection.EVACUATIONS, decode))
         if domains != self.registry.evacuated:
@@ -167,4 +173,4 @@
                 before=sorted(self.registry.evacuated),
                 revision=self.followers[Collection.EVACUATIONS].replica.revision,
             )
-        self.registry.take_evacuated(frozenset(domains))
+        self.registry.update_evacuated(frozenset(domains))
--- a/packages/gateway/plantainshed_gateway/survey.py
+++ b/packages/gateway/plantainshed_gateway/survey.py
@@ -1,4 +1,4 @@
-"""Measuring the distance to failure domains before requests need to know it."""
+"""Measures the distance (round-trip time) to failure domains in advance."""
 
 import trio
 
@@ -9,14 +9,14 @@
 from .registry import Registry, TargetState
 from .round_trips import RoundTrips
 
-# Pause between connections to a failure domain of unknown distance.
-PAUSE_S = 1.0
+# Minimum interval between probes of a failure domain with unknown distance.
+PROBE_INTERVAL_S = 1.0
 
 
-class Survey:
-    """Opens one connection to each failure domain of unknown distance.
+class DistanceProber:
+    """Opens one connection to each failure domain with unknown distance.
 
-    Placing and waits for other VMs depend on distances from the first request on.
+    Placement and timeouts for other VMs need distances from the first request on.
 
     Parameters
     ----------
@@ -37,10 +37,10 @@
         self.connections = connections
         self.round_trips = round_trips
         self.log = log
-        self._measured_at: dict[str, float] = {}
+        self._probed_at: dict[str, float] = {}
 
     def measure_unknown(self, nursery: trio.Nursery):
-        """Start measuring; what is under way, or failed a moment ago, waits."""
+        """Start probes, except where one started less than a probe interval ago."""
         now = trio.current_time()
         unknown = {
             domain
@@ -49,11 +49,11 @@
         }
         for state in self.registry.states.values() if unknown else ():
             domain = state.entry.failure_domain
-            if domain not in unknown or state.is_out:
+            if domain not in unknown or state.is_ejected:
                 continue
-            if now - self._measured_at.get(domain, -PAUSE_S) < PAUSE_S:
+            if now - self._probed_at.get(domain, -PROBE_INTERVAL_S) < PROBE_INTERVAL_S:
                 continue
-            self._measured_at[domain] = now
+            self._probed_at[domain] = now
             nursery.start_soon(self._measure, state)
 
     async def _measure(self, state: TargetState):
--- a/tests/gateway/test_connections.py
+++ b/tests/gateway/test_connections.py
@@ -6,7 +6,7 @@
 from plantainshed_gateway.connections import TargetConnections
 from plantainshed_gateway.logs import DecisionLog
 from plantainshed_gateway.registry import Registry
-from plantainshed_gateway.survey import Survey
+from plantainshed_gateway.survey import DistanceProber
 from plantainshed_http.errors import ConnectFailed
 from plantainshed_http.messages import ResponseHead
 from tests.gateway.gateway_support import (
@@ -45,9 +45,9 @@
     def __init__(self, count: int):
         self.opened = 0
         self.registry = Registry({"mil-a": "lombardia"})
-        self.registry.take_configuration(make_configuration(make_route()))
+        self.registry.update_configuration(make_configuration(make_route()))
         entries = [make_entry(f"i-{n}") for n in range(count)]
-        self.registry.take_entries(entries, may_have_lapsed=False)
+        self.registry.update_entries(entries, may_have_expired=False)
         self.states = list(self.registry.states.values())
         self.round_trips = make_round_trips()
         self.connections = TargetConnections(self.round_trips, self.connect)
@@ -112,7 +112,9 @@
 class TestSurvey(unittest.TestCase):
     async def run_five_seconds(self, targets: Targets):
         log = DecisionLog("vm-0", "mil-a", io.StringIO())
-        survey = Survey(targets.registry, targets.connections, targets.round_trips, log)
+        survey = DistanceProber(
+            targets.registry, targets.connections, targets.round_trips, log
+        )
         async with trio.open_nursery() as nursery:
             for _ in range(20):
                 survey.measure_unknown(nursery)
--- a/tests/gateway/test_placement.py
+++ b/tests/gateway/test_placement.py
@@ -9,7 +9,7 @@
 from plantainshed_gateway.placement import Placement
 from plantainshed_gateway.ports import TargetLoad
 from plantainshed_gateway.queueing import QueueLimits
-from plantainshed_gateway.registry import LAPSE_GRACE_S, Registry
+from plantainshed_gateway.registry import EXPIRY_GRACE_S, Registry
 from plantainshed_gateway.splitting import Splitter
 from tests.gateway.gateway_support import (
     BOUNDS,
@@ -29,12 +29,12 @@
 
 def make_registry(count=10, **overrides) -> Registry:
     registry = Registry(REGION_OF)
-    registry.take_configuration(CONFIGURATION)
+    registry.update_configuration(CONFIGURATION)
     entries = [
         make_entry(f"i-{n}", failure_domain="mil-a" if n % 2 else "ven-a", **overrides)
         for n in range(count)
     ]
-    registry.take_entries(entries, may_have_lapsed=False)
+    registry.update_entries(entries, may_have_expired=False)
     return registry
 
 
@@ -76,7 +76,7 @@
         registry = make_registry()
         before = find_owners(registry)
         remaining = [e for e in entries_of(registry) if e.instance != "i-3"]
-        registry.take_entries(remaining, may_have_lapsed=False)
+        registry.update_entries(remaining, may_have_expired=False)
         after = find_owners(registry)
         moved = {name for name in before if before[name] != after[name]}
         self.assertEqual(moved, {n for n in before if before[n] == "i-3"})
@@ -91,7 +91,9 @@
         registry = make_registry()
         previous = {n: find_owners(registry)[n] for n in find_owners(registry)}
         new_entries = [make_entry(f"j-{n}", failure_domain="ven-a") for n in range(4)]
-        registry.take_entries(entries_of(registry) + new_entries, may_have_lapsed=False)
+        registry.update_entries(
+            entries_of(registry) + new_entries, may_have_expired=False
+        )
         moved_by_step = []
         for _ in range(7):
             await trio.sleep(2)
@@ -225,10 +227,10 @@
         """
         registry = make_registry()
         remaining = entries_of(registry)[:2]
-        registry.take_entries(remaining, may_have_lapsed=False)
+        registry.update_entries(remaining, may_have_expired=False)
         self.assertEqual(len(registry.usable("calendario", frozenset())), 10)
         await trio.sleep(1.9)
-        registry.drop_lapsed()
+        registry.drop_expired()
         self.assertEqual(len(registry.usable("calendario", frozenset())), 2)
 
     @on_mock_clock
@@ -237,9 +239,9 @@
         registry = make_registry()
         placement = make_placement(registry)
         remaining = entries_of(registry)[1:]
-        registry.take_entries(remaining, may_have_lapsed=True)
+        registry.update_entries(remaining, may_have_expired=True)
         calls = [make_call(ROUTE, str(n)) for n in range(200)]
-        await trio.sleep(LAPSE_GRACE_S)
+        await trio.sleep(EXPIRY_GRACE_S)
         self.assertEqual(len(registry.usable("calendario", frozenset())), 9)
         chosen = {
             placement.choose(call, CONFIGURATION, set(), VMS).entry.instance
@@ -251,22 +253,22 @@
     async def test_single_removed_entry_takes_effect_at_once(self):
         registry = make_registry()
         remaining = entries_of(registry)[1:]
-        registry.take_entries(remaining, may_have_lapsed=False)
+        registry.update_entries(remaining, may_have_expired=False)
         self.assertEqual(len(registry.usable("calendario", frozenset())), 9)
 
     @on_mock_clock
     async def test_restarted_target_is_cold(self):
         registry = make_registry()
         entries = [make_entry("i-0", started_ms=2), *entries_of(registry)[1:]]
-        registry.take_entries(entries, may_have_lapsed=False)
+        registry.update_entries(entries, may_have_expired=False)
         self.assertTrue(registry.states["i-0"].is_cold)
 
     @on_mock_clock
     async def test_domain_is_cold_after_its_evacuation_ends(self):
         registry = make_registry()
-        registry.take_evacuated(frozenset({"mil-a"}))
+        registry.update_evacuated(frozenset({"mil-a"}))
         self.assertEqual(len(registry.usable("calendario", frozenset())), 5)
-        registry.take_evacuated(frozenset())
+        registry.update_evacuated(frozenset())
         states = registry.usable("calendario", frozenset())
         cold = {s.entry.failure_domain for s in states if s.is_cold}
         self.assertEqual(cold, {"mil-a"})
--- a/tests/gateway/test_state_taker.py
+++ b/tests/gateway/test_state_taker.py
@@ -7,7 +7,7 @@
 from plantainshed_gateway.quota import Quotas
 from plantainshed_gateway.registry import Registry
 from plantainshed_gateway.replication import PEER_GRACE_S, Follower
-from plantainshed_gateway.state_taker import StateTaker
+from plantainshed_gateway.state_taker import StateApplier
 from plantainshed_http.server import ConnectionLimits
 from tests.gateway.gateway_support import (
     BOUNDS,
@@ -19,91 +19,104 @@
 )
 from tests.support import on_mock_clock
 
-# A watch's answer to a peer, its word to others, and its answer to their question.
+# Time for a watch response to a peer, the peer's heartbeat, and its fetch response.
 ANSWERS_S = 0.1
 
 
 class VersionDecoder:
-    """Takes an object's value for the version of a configuration."""
+    """Decodes an object's value as the version of a configuration."""
 
     def configuration(self, item: Item):
         return make_configuration(version=item.value)
 
 
 class NameDecoder:
-    """Takes an object's name for the instance of a target."""
+    """Decodes an object's name as the instance of a target."""
 
     def target(self, item: Item):
         return make_entry(item.name)
 
 
-def make_taker(decoder, follower: Follower, log) -> StateTaker:
+def make_applier(decoder, follower: Follower, log) -> StateApplier:
     quotas = Quotas(make_members(), BOUNDS, make_round_trips())
     followers = {follower.collection: follower}
     admission = Admission(None, quotas, None)
     registry = Registry({})
-    return StateTaker(decoder, followers, admission, registry, ConnectionLimits(), log)
+    return StateApplier(
+        decoder, followers, admission, registry, ConnectionLimits(), log
+    )
 
 
-def take_targets(taker: StateTaker, revision: int, *names: str):
+def apply_targets(applier: StateApplier, revision: int, *names: str):
     items = tuple(Item(name, 5, None) for name in names)
-    replica = taker.followers[Collection.TARGETS].replica
-    replica.take_snapshot(Snapshot(items, revision))
-    taker.take(Collection.TARGETS)
+    replica = applier.followers[Collection.TARGETS].replica
+    replica.apply_snapshot(Snapshot(items, revision))
+    applier.apply(Collection.TARGETS)
 
 
-class TestStateTaker(unittest.TestCase):
+class TestStateApplier(unittest.TestCase):
     @on_mock_clock
-    async def test_configuration_that_is_not_put_in_force_has_a_line(self):
-        """A refused configuration looked like one that never came."""
+    async def test_ignored_configuration_is_logged(self):
+        """Without a log line, an ignored configuration looks like a missing one."""
         log = RecordingLog()
         follower = Follower(None, Collection.CONFIGURATION, lambda c: None, log)
-        taker = make_taker(VersionDecoder(), follower, log)
+        applier = make_applier(VersionDecoder(), follower, log)
         for revision, version in ((5, 9), (6, 8)):
             items = (Item("main", revision, version),)
-            follower.replica.take_snapshot(Snapshot(items, revision))
-            taker.take(Collection.CONFIGURATION)
-        self.assertEqual(taker.admission.configuration.version, 9)
+            follower.replica.apply_snapshot(Snapshot(items, revision))
+            applier.apply(Collection.CONFIGURATION)
+        self.assertEqual(applier.admission.configuration.version, 9)
         name, fields = log.events[-1]
         self.assertEqual(name, "configuration not newer")
         self.assertEqual((fields["version"], fields["version_in_force"]), (8, 9))
 
     @on_mock_clock
-    async def test_entry_that_ran_out_is_kept_where_a_peer_hears_the_store_first(self):
-        """A VM dropped living targets that a peer told it of before the store did."""
+    async def test_expired_entry_is_kept_if_a_peer_reconnects_to_the_store_first(self):
+        """After a store outage, a peer may report expired entries of live targets.
+
+        A VM that is still disconnected from the store must keep these targets for
+        the grace period instead of dropping them.
+        """
         log = RecordingLog()
         follower = Follower(None, Collection.TARGETS, lambda c: None, log)
-        taker = make_taker(NameDecoder(), follower, log)
-        follower.note_regained()
-        follower.note_lost("no answer")
-        take_targets(taker, 5, "i-0", "i-1")
-        take_targets(taker, 6, "i-1")
-        self.assertEqual(len(taker.registry.usable("calendario", frozenset())), 2)
+        applier = make_applier(NameDecoder(), follower, log)
+        follower.mark_connected()
+        follower.mark_disconnected("no answer")
+        apply_targets(applier, 5, "i-0", "i-1")
+        apply_targets(applier, 6, "i-1")
+        self.assertEqual(len(applier.registry.usable("calendario", frozenset())), 2)
         await trio.sleep(2.0 - PEER_GRACE_S - ANSWERS_S)
-        self.assertEqual(len(taker.registry.usable("calendario", frozenset())), 1)
+        self.assertEqual(len(applier.registry.usable("calendario", frozenset())), 1)
 
     @on_mock_clock
-    async def test_target_that_left_during_a_pause_gets_nothing_after_it(self):
-        """A VM that woke sent requests to a target that had left for 1.8 s more."""
+    async def test_target_that_left_during_a_pause_is_dropped_after_it(self):
+        """After a pause, a target that left must not be kept for the 1.8 s grace.
+
+        A store call that times out during the pause looks like a store outage, which
+        would start the grace period.
+        """
         log = RecordingLog()
         follower = Follower(None, Collection.TARGETS, lambda c: None, log)
-        taker = make_taker(NameDecoder(), follower, log)
-        follower.note_regained()
-        take_targets(taker, 5, "i-0", "i-1")
-        follower.note_lost("the watch went silent")
-        taker.note_pause()
-        follower.note_regained()
-        take_targets(taker, 6, "i-1")
-        self.assertEqual(len(taker.registry.usable("calendario", frozenset())), 1)
+        applier = make_applier(NameDecoder(), follower, log)
+        follower.mark_connected()
+        apply_targets(applier, 5, "i-0", "i-1")
+        follower.mark_disconnected("watch timed out without a response")
+        applier.note_pause()
+        follower.mark_connected()
+        apply_targets(applier, 6, "i-1")
+        self.assertEqual(len(applier.registry.usable("calendario", frozenset())), 1)
 
     @on_mock_clock
-    async def test_vm_that_leaves_watching_to_others_believes_them_at_once(self):
-        """A VM whose last own watch went silent kept each target that had left."""
+    async def test_vm_with_delegated_watch_drops_removed_targets_at_once(self):
+        """A failed last watch must not make a VM keep targets that have left.
+
+        A VM that relies on other VMs' watches applies their changes immediately.
+        """
         follower = Follower(None, Collection.TARGETS, lambda c: None, RecordingLog())
-        taker = make_taker(NameDecoder(), follower, RecordingLog())
-        follower.note_regained()
-        take_targets(taker, 5, "i-0", "i-1")
-        follower.note_lost("the watch went silent")
-        follower.is_resting = True
-        take_targets(taker, 6, "i-1")
-        self.assertEqual(len(taker.registry.usable("calendario", frozenset())), 1)
+        applier = make_applier(NameDecoder(), follower, RecordingLog())
+        follower.mark_connected()
+        apply_targets(applier, 5, "i-0", "i-1")
+        follower.mark_disconnected("watch timed out without a response")
+        follower.is_watch_delegated = True
+        apply_targets(applier, 6, "i-1")
+        self.assertEqual(len(applier.registry.usable("calendario", frozenset())), 1)
--- a/tests/platform/test_escapes_of_the_store.py
+++ b/tests/platform/test_escapes_of_the_store.py
@@ -10,7 +10,7 @@
 
 
 class TestAnswersOfAnotherShape(unittest.TestCase):
-    """`Follower.run` and `_know_vms` await these calls and catch `StoreUnavailable`.
+    """`Follower.run` and `_sync_vms` await these calls and catch `StoreUnavailable`.
 
     Anything else leaves their task, the nursery, and ends the process.
     """
@@ -37,4 +37,4 @@
 
         async with serving(answer) as (address, _):
             with self.assertRaises(StoreUnavailable):
-                await ObjectStore(address).list(Collection.VMS, may_be_old=True)
+                await ObjectStore(address).list(Collection.VMS, allow_stale=True)
--- a/tests/platform/test_whole_path.py
+++ b/tests/platform/test_whole_path.py
@@ -414,7 +414,7 @@
             )
             await path.until(
                 lambda: (
-                    len(path.gateway.registry.assigned("calendario", frozenset())) == 1
+                    len(path.gateway.registry.eligible("calendario", frozenset())) == 1
                 )
             )
             for number in range(6):
@@ -452,7 +452,7 @@
             await path.until(
                 lambda: (
                     path.gateway.registry.states.get("i-0") is None
-                    or path.gateway.registry.states["i-0"].lapsed_at is not None
+                    or path.gateway.registry.states["i-0"].expired_at is not None
                 )
             )
 
