--- a/packages/gateway/plantainshed_gateway/datagrams.py
+++ b/packages/gateway/plantainshed_gateway/datagrams.py
@@ -84,11 +84,11 @@
 # decoded in 0.18 ms, by the converter alone in 0.33; a VM of a domain of 13 takes
 # in 24 of them a second.
 _CONVERTER.register_unstructure_hook(
-    Use, lambda use: (use.demand, use.share, use.level)
+    Use, lambda usage: (usage.demand, usage.share, usage.level)
 )
 _CONVERTER.register_unstructure_hook(
     UseSummary,
-    lambda use: (use.demand, use.share, use.kept, use.level, use.lender),
+    lambda usage: (usage.demand, usage.share, usage.kept, usage.level, usage.lender),
 )
 _CONVERTER.register_structure_hook(Bundle, lambda fields, _: _bundle(fields))
 _CONVERTER.register_structure_hook_func(
--- a/packages/gateway/plantainshed_gateway/gateway.py
+++ b/packages/gateway/plantainshed_gateway/gateway.py
@@ -224,7 +224,7 @@
             callers=settings.listen.callers,
             control=settings.listen.control,
             newest=newest,
-            use=use,
+            usage=use,
             deaths=self.poison.to_tell(),
         )
 
@@ -233,7 +233,7 @@
             name.value: replica.changed_at_revision
             for name, replica in self.replicas.items()
         }
-        return self._own_heartbeat(newest, self.quotas.use(), self.members.count)
+        return self._own_heartbeat(newest, self.quotas.usage(), self.members.count)
 
     async def _on_message(self, message: Message, ip: str):
         await self.messages.take(message, ip)
--- a/packages/gateway/plantainshed_gateway/heartbeats.py
+++ b/packages/gateway/plantainshed_gateway/heartbeats.py
@@ -62,7 +62,7 @@
         Whether the store answered its last calls.
     newest : dict of str to int
         Revision of the newest change that it knows, by collection.
-    use : dict of str to Use
+    usage : dict of str to Use
         By workspace.
     deaths : tuple of (str, str)
         Fingerprints of requests, and the target that died under each.
@@ -80,7 +80,7 @@
     weight: float = 1.0
     is_in_touch: bool = False
     newest: dict[str, int] = field(factory=dict)
-    use: dict[str, Use] = field(factory=dict)
+    usage: dict[str, Use] = field(factory=dict)
     deaths: tuple[tuple[str, str], ...] = ()
 
 
@@ -151,7 +151,7 @@
     vms : tuple of VmSummary
     newest : dict of str to int
         Revision of the newest change that the speaker knows, by collection.
-    use : dict of str to UseSummary
+    usage : dict of str to UseSummary
         By workspace.
     deaths : tuple of (str, str)
     """
@@ -165,7 +165,7 @@
     age_s: float
     vms: tuple[VmSummary, ...] = ()
     newest: dict[str, int] = field(factory=dict)
-    use: dict[str, UseSummary] = field(factory=dict)
+    usage: dict[str, UseSummary] = field(factory=dict)
     deaths: tuple[tuple[str, str], ...] = ()
 
 
--- a/packages/gateway/plantainshed_gateway/loans.py
+++ b/packages/gateway/plantainshed_gateway/loans.py
@@ -185,9 +185,9 @@
         own = self.members.own
         lenders = []
         for member in self.members.near():
-            use = member.heartbeat.use.get(name) if member.heartbeat else None
-            if use is not None and use.share > 0 and member.is_alive:
-                lenders.append(_Lender(member.ip, own.failure_domain, use.level))
+            usage = member.heartbeat.usage.get(name) if member.heartbeat else None
+            if usage is not None and usage.share > 0 and member.is_alive:
+                lenders.append(_Lender(member.ip, own.failure_domain, usage.level))
         lenders += self._in_domains(name, in_own_region=True)
         lenders = self._ordered(lenders)
         if self.quotas.holders.is_own(name):
@@ -209,12 +209,12 @@
     def _in_domains(self, name: str, in_own_region: bool) -> list[_Lender]:
         lenders = []
         for failure_domain, domain in self.members.far.items():
-            use = domain.news.use.get(name)
+            usage = domain.news.usage.get(name)
             is_in_own_region = domain.news.region == self.members.own.region
-            if use is None or not use.lender or not domain.is_fresh:
+            if usage is None or not usage.lender or not domain.is_fresh:
                 continue
             if is_in_own_region == in_own_region:
-                lenders.append(_Lender(use.lender, failure_domain, use.level))
+                lenders.append(_Lender(usage.lender, failure_domain, usage.level))
         return lenders
 
     def _ordered(self, lenders: list[_Lender]) -> list[_Lender]:
--- a/packages/gateway/plantainshed_gateway/members.py
+++ b/packages/gateway/plantainshed_gateway/members.py
@@ -177,7 +177,7 @@
         if not self._take(heartbeat, ip, 0.0, ALIVE_S):
             return False
         told = self.table[heartbeat.vm].told
-        told.note(trio.current_time(), _demand_of(heartbeat.use))
+        told.note(trio.current_time(), _demand_of(heartbeat.usage))
         return True
 
     def _take(self, beat: Heartbeat, ip: str, age_s: float, alive_s: float) -> bool:
@@ -209,7 +209,7 @@
         orders[news.speaker] = order
         told = known.told if known else ToldDemand()
         domain = FarDomain(news, trio.current_time(), orders, told)
-        told.note(domain.said_at, _demand_of(news.use))
+        told.note(domain.said_at, _demand_of(news.usage))
         self.far[news.failure_domain] = domain
         for summary in news.vms:
             if summary.vm != self.own.vm:
@@ -319,7 +319,7 @@
 
     def __init__(self, near: list[Member], far: list[FarDomain], moment: float):
         self.near = UseSums(near)
-        self.far = [(domain.is_fresh, domain.news.use) for domain in far]
+        self.far = [(domain.is_fresh, domain.news.usage) for domain in far]
         alive = [m for m in near if m.is_alive]
         self.near_then = {m.heartbeat.vm: m.told.at(moment) for m in alive}
         far_then = [d.told.at(moment) for d in far if d.is_fresh]
@@ -330,15 +330,15 @@
         near = self.near.of(workspace)
         demand, share, kept = near.demand, near.share, near.kept
         for is_fresh, uses in self.far:
-            use = uses.get(workspace)
-            if use is None:
+            usage = uses.get(workspace)
+            if usage is None:
                 continue
-            kept += use.kept
+            kept += usage.kept
             if is_fresh:
-                demand += use.demand
-                share += use.share
+                demand += usage.demand
+                share += usage.share
             else:
-                kept += use.share
+                kept += usage.share
         demand_then = sum(then.of(workspace) for then in self.then)
         return UseTotals(demand, demand_then, share, kept)
 
@@ -353,28 +353,28 @@
     """
 
     def __init__(self, members: list[Member]):
-        self.uses = [(m.ip, m.is_alive, m.heartbeat.use) for m in members]
+        self.uses = [(m.ip, m.is_alive, m.heartbeat.usage) for m in members]
         self.alive = [m.heartbeat for m in members if m.is_alive]
 
     def workspaces(self) -> set[str]:
         """Return the workspaces whose quotas VMs that are alive use."""
-        return {name for beat in self.alive for name in beat.use}
+        return {name for beat in self.alive for name in beat.usage}
 
     def of(self, workspace: str) -> UseSummary:
         """Return what they use of a workspace's quota."""
         demand = share = kept = level = 0.0
         lender = ""
         for ip, is_alive, uses in self.uses:
-            use = uses.get(workspace)
-            if use is None:
+            usage = uses.get(workspace)
+            if usage is None:
                 continue
             if not is_alive:
-                kept += use.share
+                kept += usage.share
                 continue
-            demand += use.demand
-            share += use.share
-            if use.level > level:
-                level, lender = use.level, ip
+            demand += usage.demand
+            share += usage.share
+            if usage.level > level:
+                level, lender = usage.level, ip
         return UseSummary(demand, share, kept, level, lender)
 
 
@@ -392,8 +392,8 @@
     )
 
 
-def _demand_of(use: Mapping[str, Use | UseSummary]) -> dict[str, float]:
-    return {name: one.demand for name, one in use.items()}
+def _demand_of(usage: Mapping[str, Use | UseSummary]) -> dict[str, float]:
+    return {name: one.demand for name, one in usage.items()}
 
 
 def _order(heartbeat: Heartbeat) -> tuple[int, int]:
--- a/packages/gateway/plantainshed_gateway/quota.py
+++ b/packages/gateway/plantainshed_gateway/quota.py
@@ -388,7 +388,7 @@
             return min(1.0, heard / UNKNOWN_FLEET)
         return heard / (heard + self.members.not_heard_yet())
 
-    def use(self) -> dict[str, Use]:
+    def usage(self) -> dict[str, Use]:
         """Return what this VM tells others now."""
         for demand in self.demands.values():
             demand.decay()
--- a/packages/gateway/plantainshed_gateway/speakers.py
+++ b/packages/gateway/plantainshed_gateway/speakers.py
@@ -122,7 +122,7 @@
         itself = Member(_ip_of(own), own.failure_domain, own, now)
         known = [itself, *(m for m in near if m.heartbeat is not None)]
         ages = [now - member.heard_at for member in known if member.is_alive]
-        names = {name for member in known for name in member.heartbeat.use}
+        names = {name for member in known for name in member.heartbeat.usage}
         sums = UseSums(known)
         return DomainNews(
             failure_domain=own.failure_domain,
@@ -134,7 +134,7 @@
             age_s=round(max(ages), 2),
             vms=tuple(_summary(member, now) for member in known),
             newest=own.newest,
-            use={name: _rounded(sums.of(name)) for name in names},
+            usage={name: _rounded(sums.of(name)) for name in names},
             deaths=own.deaths,
         )
 
@@ -189,13 +189,13 @@
     )
 
 
-def _rounded(use: UseSummary) -> UseSummary:
+def _rounded(usage: UseSummary) -> UseSummary:
     return evolve(
-        use,
-        demand=round(use.demand, 2),
-        share=round(use.share, 4),
-        kept=round(use.kept, 4),
-        level=round(use.level, 1),
+        usage,
+        demand=round(usage.demand, 2),
+        share=round(usage.share, 4),
+        kept=round(usage.kept, 4),
+        level=round(usage.level, 1),
     )
 
 
--- a/packages/measure/plantainshed_measure/limits_model.py
+++ b/packages/measure/plantainshed_measure/limits_model.py
@@ -223,7 +223,7 @@
         await self.messages.take(message, ip)
 
     def _make_heartbeat(self) -> Heartbeat:
-        return self._heartbeat(self.quotas.use(), self.members.count)
+        return self._heartbeat(self.quotas.usage(), self.members.count)
 
     def _heartbeat(self, use: dict, known: int = 1) -> Heartbeat:
         self.heartbeat_number += 1
@@ -238,7 +238,7 @@
             control=f"{self.place.ip}:81",
             known=known,
             weight=LINK_MBPS,
-            use=use,
+            usage=use,
         )
 
 
--- a/tests/gateway/fleet_support.py
+++ b/tests/gateway/fleet_support.py
@@ -24,7 +24,7 @@
         self.quotas = Quotas(self.members, BOUNDS, make_round_trips())
         self.speakers = Speakers(self.members)
 
-    def beat(self, use=None):
+    def beat(self, usage=None):
         self.number += 1
         return make_heartbeat(
             self.name,
@@ -36,7 +36,7 @@
             weight=self.weight,
             callers=f"{self.ip}:1",
             control=f"{self.ip}:2",
-            use=use or {},
+            usage=usage or {},
         )
 
 
@@ -77,7 +77,7 @@
         for sender, ip, message in late:
             self.deliver(sender, ip, message)
         for vm in list(self.vms.values()):
-            vm.members.own = vm.beat(vm.quotas.use())
+            vm.members.own = vm.beat(vm.quotas.usage())
             for member in vm.members.near():
                 self.send(vm, member.ip, vm.members.own)
         for vm in list(self.vms.values()):
--- a/tests/gateway/linked_fleet.py
+++ b/tests/gateway/linked_fleet.py
@@ -56,7 +56,7 @@
             self.speakers,
             ip,
             1,
-            lambda: self.beat(self.quotas.use()),
+            lambda: self.beat(self.quotas.usage()),
             self.take,
             log,
         )
@@ -68,7 +68,7 @@
             if fleet.region_of[domain] != fleet.region_of[self.domain]:
                 self.round_trips.note(domain, 2 * fleet.one_way_s)
 
-    def beat(self, use):
+    def beat(self, usage):
         self.number += 1
         return make_heartbeat(
             self.name,
@@ -81,7 +81,7 @@
             control=f"{self.ip}:2",
             known=self.fleet.count,
             weight=100.0,
-            use=use,
+            usage=usage,
         )
 
     async def take(self, message, ip):
--- a/tests/gateway/test_loans.py
+++ b/tests/gateway/test_loans.py
@@ -49,7 +49,7 @@
     def beat(self):
         for n in (0, 1):
             heartbeat = make_heartbeat(
-                f"vm-{n}", 2 + self.asked, use=self.quotas[n].use()
+                f"vm-{n}", 2 + self.asked, usage=self.quotas[n].usage()
             )
             self.members[1 - n].take(heartbeat, f"10.0.0.{n}")
         for quotas in self.quotas:
