--- a/packages/gateway/plantainshed_gateway/loans.py
+++ b/packages/gateway/plantainshed_gateway/loans.py
@@ -209,8 +209,8 @@
     def _in_domains(self, name: str, in_own_region: bool) -> list[_Lender]:
         lenders = []
         for failure_domain, domain in self.members.far.items():
-            usage = domain.news.usage.get(name)
-            is_in_own_region = domain.news.region == self.members.own.region
+            usage = domain.summary.usage.get(name)
+            is_in_own_region = domain.summary.region == self.members.own.region
             if usage is None or not usage.lender or not domain.is_fresh:
                 continue
             if is_in_own_region == in_own_region:
--- a/packages/gateway/plantainshed_gateway/members.py
+++ b/packages/gateway/plantainshed_gateway/members.py
@@ -94,7 +94,7 @@
         By its news.
     """
 
-    news: DomainNews
+    summary: DomainNews
     heard_at: float
     order: dict[str, tuple[int, int]] = field(factory=dict)
     told: ToldDemand = field(factory=ToldDemand)
@@ -102,7 +102,7 @@
     @property
     def said_at(self) -> float:
         """When the oldest heartbeat was heard that its sums rest on."""
-        return self.heard_at - self.news.age_s
+        return self.heard_at - self.summary.age_s
 
     @property
     def is_recent(self) -> bool:
@@ -226,7 +226,7 @@
         known = self.far.get(failure_domain)
         if known is None:
             return True
-        if known.is_recent and known.news.speaker != speaker:
+        if known.is_recent and known.summary.speaker != speaker:
             # Its other speaker has just told the same; one in time is enough.
             return False
         return order > known.order.get(speaker, (-1, -1))
@@ -319,7 +319,7 @@
 
     def __init__(self, near: list[Member], far: list[FarDomain], moment: float):
         self.near = UseSums(near)
-        self.far = [(domain.is_fresh, domain.news.usage) for domain in far]
+        self.far = [(domain.is_fresh, domain.summary.usage) for domain in far]
         alive = [m for m in near if m.is_alive]
         self.near_then = {m.heartbeat.vm: m.told.at(moment) for m in alive}
         far_then = [d.told.at(moment) for d in far if d.is_fresh]
--- a/tests/platform/test_fleet.py
+++ b/tests/platform/test_fleet.py
@@ -231,7 +231,7 @@
                 pass
             await fleet.until(
                 lambda: any(
-                    workspace.name in domain.news.usage
+                    workspace.name in domain.summary.usage
                     for domain in borrower.members.far.values()
                 )
             )
