--- a/packages/gateway/plantainshed_gateway/gateway.py
+++ b/packages/gateway/plantainshed_gateway/gateway.py
@@ -290,7 +290,7 @@
             paused_s = pauses.check(UPKEEP_S)
             if paused_s:
                 await self._catch_up_after(paused_s)
-            self.quotas.divide()
+            self.quotas.recompute_shares()
             self.registry.drop_lapsed()
             self.connections.close_idle(set(self.registry.states))
             self.survey.measure_unknown(self._nursery)
--- a/packages/gateway/plantainshed_gateway/quota.py
+++ b/packages/gateway/plantainshed_gateway/quota.py
@@ -323,7 +323,7 @@
         unused = min(tolerance * (1.0 - USED_TOLERANCE), rate * UNUSED_S)
         return rate, tolerance - unused, unused
 
-    def divide(self):
+    def recompute_shares(self):
         """Compute this VM's share of each quota anew."""
         self.holders.refresh()
         moment = self.members.oldest_heard_at()
--- a/packages/measure/plantainshed_measure/limits_model.py
+++ b/packages/measure/plantainshed_measure/limits_model.py
@@ -181,7 +181,7 @@
         while True:
             await trio.sleep(UPKEEP_S)
             await self.is_thawed.wait()
-            self.quotas.divide()
+            self.quotas.recompute_shares()
             self._measure_unknown()
             self.members.forget_gone()
 
--- a/tests/gateway/fleet_support.py
+++ b/tests/gateway/fleet_support.py
@@ -91,7 +91,7 @@
                 for member in vm.members.near():
                     self.send(vm, member.ip, bundle)
         for vm in self.vms.values():
-            vm.quotas.divide()
+            vm.quotas.recompute_shares()
 
     def send(self, sender: NewsVm, ip: str, message):
         data = encode(message)
--- a/tests/gateway/linked_fleet.py
+++ b/tests/gateway/linked_fleet.py
@@ -97,7 +97,7 @@
     async def upkeep(self):
         while True:
             await trio.sleep(UPKEEP_S)
-            self.quotas.divide()
+            self.quotas.recompute_shares()
 
 
 class LinkedFleet:
--- a/tests/gateway/test_loans.py
+++ b/tests/gateway/test_loans.py
@@ -53,7 +53,7 @@
             )
             self.members[1 - n].take(heartbeat, f"10.0.0.{n}")
         for quotas in self.quotas:
-            quotas.divide()
+            quotas.recompute_shares()
 
     def tokens(self) -> float:
         total = 0.0
--- a/tests/gateway/test_quota.py
+++ b/tests/gateway/test_quota.py
@@ -206,7 +206,7 @@
     async def admitted_in_first_second(self, fleet: Fleet) -> int:
         for _ in range(100):
             for quotas in fleet.quotas:
-                quotas.divide()
+                quotas.recompute_shares()
             for vm in range(12):
                 fleet.ask(vm)
                 fleet.ask(vm)
@@ -235,7 +235,7 @@
         members.is_listed = True
         quotas = Quotas(members, BOUNDS, make_round_trips())
         quotas.workspaces = {WORKSPACE.name: WORKSPACE}
-        quotas.divide()
+        quotas.recompute_shares()
         return quotas
 
     def take_all(self, quotas: Quotas) -> int:
--- a/tests/measure/test_limits_model.py
+++ b/tests/measure/test_limits_model.py
@@ -46,7 +46,7 @@
         """Guards against a check that no broken quota could fail."""
 
         def spoil(vm):
-            divide = vm.quotas.divide
+            divide = vm.quotas.recompute_shares
 
             def divide_doubled():
                 divide()
@@ -54,7 +54,7 @@
                     bucket.share = max(bucket.share, 2.0)
 
             if vm.place.vm == "vm0":
-                vm.quotas.divide = divide_doubled
+                vm.quotas.recompute_shares = divide_doubled
 
         limits = evolve(LIMITS, seconds=30.0)
         case = draw_case(limits, 1, Kind.CALM, size=3, distance="12ms")
