--- a/packages/gateway/plantainshed_gateway/quota.py
+++ b/packages/gateway/plantainshed_gateway/quota.py
@@ -154,7 +154,7 @@
         self.takes.append(_Taken(trio.current_time(), self.level))
         self.level -= tokens
 
-    def give_back(self, taken_at: float):
+    def return_token(self, taken_at: float):
         """Return a token, unless the bucket has been filled in its place.
 
         Had it not been taken, the bucket would at no time have held more than its
@@ -279,11 +279,11 @@
             bucket.take(tokens)
         return tokens
 
-    def give_back(self, workspace: Workspace, taken_at: float):
+    def return_token(self, workspace: Workspace, taken_at: float):
         """Return the token of a request that certainly did not run."""
         bucket = self.buckets.get(workspace.name)
         if bucket is not None:
-            bucket.give_back(taken_at)
+            bucket.return_token(taken_at)
 
     def _bucket(self, workspace: Workspace) -> Bucket:
         rate, most, unused = self._size_of(workspace)
--- a/packages/gateway/plantainshed_gateway/serving.py
+++ b/packages/gateway/plantainshed_gateway/serving.py
@@ -303,7 +303,7 @@
         """Return what a caller is told whose request no target answered."""
         if not call.may_have_run:
             if call.workspace is not None:
-                self.admission.quotas.give_back(call.workspace, call.taken_at)
+                self.admission.quotas.return_token(call.workspace, call.taken_at)
             return Refusal(
                 HTTPStatus.SERVICE_UNAVAILABLE, reason, message, NO_ROOM_RETRY_AFTER_S
             )
--- a/packages/measure/plantainshed_measure/limits_model.py
+++ b/packages/measure/plantainshed_measure/limits_model.py
@@ -162,7 +162,7 @@
         self.fleet.record.asked[name].append(asked)
         if looks_s is not None:
             await trio.sleep(looks_s)
-            self.quotas.give_back(workspace, now)
+            self.quotas.return_token(workspace, now)
 
     def take_workspace(self, workspace: Workspace):
         """Put a workspace's quota in force."""
--- a/tests/gateway/test_quota.py
+++ b/tests/gateway/test_quota.py
@@ -251,7 +251,7 @@
         await trio.sleep(10)
         taken = self.take_all(quotas)
         for _ in range(taken):
-            quotas.give_back(WORKSPACE, trio.current_time())
+            quotas.return_token(WORKSPACE, trio.current_time())
         self.assertEqual(self.take_all(quotas), taken)
 
     @on_mock_clock
@@ -265,12 +265,12 @@
         for _ in range(500):
             now = trio.current_time()
             while held and held[0] < now - 1.2:
-                quotas.give_back(WORKSPACE, held.popleft())
+                quotas.return_token(WORKSPACE, held.popleft())
             held.extend([now] * self.take_all(quotas))
             await trio.sleep(0.01)
         returned = 0
         for taken_at in held:
-            quotas.give_back(WORKSPACE, taken_at)
+            quotas.return_token(WORKSPACE, taken_at)
             returned += self.take_all(quotas)
         self.assertLessEqual(returned, most)
         self.assertGreater(returned, most // 2)
