--- a/packages/gateway/plantainshed_gateway/admission.py
+++ b/packages/gateway/plantainshed_gateway/admission.py
@@ -97,7 +97,7 @@
         wait_s = self.quotas.admit(workspace)
         if wait_s is not None:
             await self.loans.borrow(workspace)
-            wait_s = self.quotas.take(workspace)
+            wait_s = self.quotas.take_token(workspace)
         if wait_s is None:
             await self.loans.fetch_ahead(workspace)
         else:
--- a/packages/gateway/plantainshed_gateway/quota.py
+++ b/packages/gateway/plantainshed_gateway/quota.py
@@ -215,9 +215,9 @@
         if workspace.rate_per_s <= 0:
             return None
         self.demands.setdefault(workspace.name, Demand()).add()
-        return self.take(workspace)
+        return self.take_token(workspace)
 
-    def take(self, workspace: Workspace) -> float | None:
+    def take_token(self, workspace: Workspace) -> float | None:
         """Take a token; return None, or the seconds until there is one."""
         bucket = self._bucket(workspace)
         bucket.fill()
--- a/tests/gateway/linked_fleet.py
+++ b/tests/gateway/linked_fleet.py
@@ -177,7 +177,7 @@
         wait_s = vm.quotas.admit(self.workspace)
         if wait_s is not None:
             await vm.loans.borrow(self.workspace)
-            wait_s = vm.quotas.take(self.workspace)
+            wait_s = vm.quotas.take_token(self.workspace)
         if wait_s is None:
             await vm.loans.fetch_ahead(self.workspace)
             self.admitted.append(trio.current_time())
--- a/tests/gateway/test_far_loans.py
+++ b/tests/gateway/test_far_loans.py
@@ -61,7 +61,7 @@
         wait_s = vm.quotas.admit(self.workspace)
         if wait_s is not None:
             await self.loans[vm.ip].borrow(self.workspace)
-            wait_s = vm.quotas.take(self.workspace)
+            wait_s = vm.quotas.take_token(self.workspace)
         if wait_s is None:
             await self.loans[vm.ip].fetch_ahead(self.workspace)
             self.admitted.append(trio.current_time())
--- a/tests/gateway/test_loans.py
+++ b/tests/gateway/test_loans.py
@@ -87,7 +87,7 @@
         pair.beat()
         before, began_at = pair.tokens(), trio.current_time()
         self.assertTrue(await pair.loans[0].borrow(WORKSPACE))
-        self.assertIsNone(pair.quotas[0].take(WORKSPACE))
+        self.assertIsNone(pair.quotas[0].take_token(WORKSPACE))
         grown = (trio.current_time() - began_at) * (20 * 5 + 20) / 5
         self.assertLessEqual(pair.tokens() + 1, before + grown + 0.01)
 
--- a/tests/gateway/test_quota.py
+++ b/tests/gateway/test_quota.py
@@ -240,7 +240,7 @@
 
     def take_all(self, quotas: Quotas) -> int:
         count = 0
-        while quotas.take(WORKSPACE) is None:
+        while quotas.take_token(WORKSPACE) is None:
             count += 1
         return count
 
--- a/tests/gateway/test_speakers.py
+++ b/tests/gateway/test_speakers.py
@@ -205,7 +205,7 @@
                 wait_s = vm.quotas.admit(workspace)
                 if wait_s is not None:
                     await loans[vm.ip].borrow(workspace)
-                    wait_s = vm.quotas.take(workspace)
+                    wait_s = vm.quotas.take_token(workspace)
                 refused += wait_s is not None and step > 100
             await trio.sleep(0.05)
         self.assertLess(refused / asked, 0.01)
