--- a/packages/gateway/plantainshed_gateway/admission.py
+++ b/packages/gateway/plantainshed_gateway/admission.py
@@ -99,7 +99,7 @@
             await self.loans.borrow(workspace)
             wait_s = self.quotas.take_token(workspace)
         if wait_s is None:
-            await self.loans.fetch_ahead(workspace)
+            await self.loans.prefetch(workspace)
         else:
             raise Refusal(
                 HTTPStatus.TOO_MANY_REQUESTS,
--- a/packages/gateway/plantainshed_gateway/loans.py
+++ b/packages/gateway/plantainshed_gateway/loans.py
@@ -158,7 +158,7 @@
 
     # Ahead of requests.
 
-    async def fetch_ahead(self, workspace: Workspace):
+    async def prefetch(self, workspace: Workspace):
         """Ask for tokens if requests to come may find none; waits for nothing."""
         name = workspace.name
         now = trio.current_time()
--- a/tests/gateway/linked_fleet.py
+++ b/tests/gateway/linked_fleet.py
@@ -179,7 +179,7 @@
             await vm.loans.borrow(self.workspace)
             wait_s = vm.quotas.take_token(self.workspace)
         if wait_s is None:
-            await vm.loans.fetch_ahead(self.workspace)
+            await vm.loans.prefetch(self.workspace)
             self.admitted.append(trio.current_time())
         else:
             self.refused += 1
--- a/tests/gateway/test_far_loans.py
+++ b/tests/gateway/test_far_loans.py
@@ -63,7 +63,7 @@
             await self.loans[vm.ip].borrow(self.workspace)
             wait_s = vm.quotas.take_token(self.workspace)
         if wait_s is None:
-            await self.loans[vm.ip].fetch_ahead(self.workspace)
+            await self.loans[vm.ip].prefetch(self.workspace)
             self.admitted.append(trio.current_time())
         else:
             self.refused += 1
