--- a/packages/gateway/plantainshed_gateway/gateway.py
+++ b/packages/gateway/plantainshed_gateway/gateway.py
@@ -20,7 +20,7 @@
 from .lookup import LookupTable
 from .members import Members
 from .pauses import PauseWatch
-from .peer_messages import PeerMessages
+from .peer_messages import PeerMessageHandler
 from .peers import Peers
 from .placement import Placement
 from .poison import PoisonBook
@@ -134,7 +134,7 @@
             self.limits,
             context.log,
         )
-        self.messages = PeerMessages(
+        self.messages = PeerMessageHandler(
             self.peers,
             self.members,
             self.speakers,
--- a/packages/gateway/plantainshed_gateway/peer_messages.py
+++ b/packages/gateway/plantainshed_gateway/peer_messages.py
@@ -25,7 +25,7 @@
 INTRODUCE_PAUSE_S = 0.1
 
 
-class PeerMessages:
+class PeerMessageHandler:
     """Hands what other VMs say to the parts that it concerns.
 
     Parameters
--- a/packages/measure/plantainshed_measure/limits_model.py
+++ b/packages/measure/plantainshed_measure/limits_model.py
@@ -17,7 +17,7 @@
 from plantainshed_gateway.loans import Loans
 from plantainshed_gateway.members import Members
 from plantainshed_gateway.model import Workspace
-from plantainshed_gateway.peer_messages import PeerMessages
+from plantainshed_gateway.peer_messages import PeerMessageHandler
 from plantainshed_gateway.peers import HEARTBEAT_S, NEWS_EVERY, Peers
 from plantainshed_gateway.poison import PoisonBook
 from plantainshed_gateway.quota import Quotas
@@ -94,7 +94,7 @@
         self.peers.socket = fleet.network.open(place.ip)
         self.loans = Loans(self.quotas, self.members, self.peers.send, self.round_trips)
         self.admission = Admission(None, self.quotas, self.loans)
-        self.messages = PeerMessages(
+        self.messages = PeerMessageHandler(
             self.peers, self.members, self.speakers, self.loans, self.poison, {}, log
         )
         self.workspaces: dict[str, Workspace] = {}
--- a/tests/gateway/linked_fleet.py
+++ b/tests/gateway/linked_fleet.py
@@ -11,7 +11,7 @@
 from plantainshed_gateway.logs import DecisionLog
 from plantainshed_gateway.members import Members
 from plantainshed_gateway.model import Workspace
-from plantainshed_gateway.peer_messages import PeerMessages
+from plantainshed_gateway.peer_messages import PeerMessageHandler
 from plantainshed_gateway.peers import Peers
 from plantainshed_gateway.poison import PoisonBook
 from plantainshed_gateway.quota import Quotas
@@ -61,7 +61,7 @@
             log,
         )
         self.loans = Loans(self.quotas, self.members, self.peers.send, self.round_trips)
-        self.messages = PeerMessages(
+        self.messages = PeerMessageHandler(
             self.peers, self.members, self.speakers, self.loans, PoisonBook(), {}, log
         )
         for domain in fleet.region_of:
--- a/tests/gateway/test_introductions.py
+++ b/tests/gateway/test_introductions.py
@@ -5,7 +5,7 @@
 
 from plantainshed_gateway.heartbeats import DomainNews
 from plantainshed_gateway.logs import DecisionLog
-from plantainshed_gateway.peer_messages import PeerMessages
+from plantainshed_gateway.peer_messages import PeerMessageHandler
 from plantainshed_gateway.poison import PoisonBook
 from plantainshed_gateway.speakers import Speakers
 from tests.gateway.gateway_support import make_heartbeat, make_members
@@ -45,7 +45,9 @@
         members, peers = make_members(), FakePeers()
         log = DecisionLog("vm-0", "mil-a", io.StringIO())
         speakers = Speakers(members)
-        messages = PeerMessages(peers, members, speakers, None, PoisonBook(), {}, log)
+        messages = PeerMessageHandler(
+            peers, members, speakers, None, PoisonBook(), {}, log
+        )
         return messages, peers
 
     @on_mock_clock
