--- a/packages/gateway/plantainshed_gateway/gateway.py
+++ b/packages/gateway/plantainshed_gateway/gateway.py
@@ -236,7 +236,7 @@
         return self._own_heartbeat(newest, self.quotas.usage(), self.members.count)
 
     async def _on_message(self, message: Message, ip: str):
-        await self.messages.take(message, ip)
+        await self.messages.handle(message, ip)
 
     async def _know_vms(self):
         """Register this VM in the store, and learn which others there are."""
--- a/packages/gateway/plantainshed_gateway/peer_messages.py
+++ b/packages/gateway/plantainshed_gateway/peer_messages.py
@@ -67,7 +67,7 @@
         # Runs of VMs of this failure domain that were heard to leave.
         self._leaving_incarnations: dict[str, int] = {}
 
-    async def take(self, message: Message, ip: str):
+    async def handle(self, message: Message, ip: str):
         """Act on one message; `ip` is its sender's."""
         if isinstance(message, TokenAsk):
             await self.loans.on_ask(message, ip)
--- a/packages/measure/plantainshed_measure/limits_model.py
+++ b/packages/measure/plantainshed_measure/limits_model.py
@@ -220,7 +220,7 @@
             await self.peers.send_now()
 
     async def _on_message(self, message, ip: str):
-        await self.messages.take(message, ip)
+        await self.messages.handle(message, ip)
 
     def _make_heartbeat(self) -> Heartbeat:
         return self._heartbeat(self.quotas.usage(), self.members.count)
--- a/tests/gateway/linked_fleet.py
+++ b/tests/gateway/linked_fleet.py
@@ -85,7 +85,7 @@
         )
 
     async def take(self, message, ip):
-        await self.messages.take(message, ip)
+        await self.messages.handle(message, ip)
 
     async def run(self, after_s: float):
         """Send heartbeats and divide, as a gateway does, until cancelled."""
--- a/tests/gateway/test_introductions.py
+++ b/tests/gateway/test_introductions.py
@@ -53,27 +53,27 @@
     @on_mock_clock
     async def test_vm_that_is_heard_first_is_told_at_once(self):
         messages, peers = self.make_vm()
-        await messages.take(make_heartbeat("vm-1"), "10.0.0.1")
+        await messages.handle(make_heartbeat("vm-1"), "10.0.0.1")
         self.assertEqual(peers.told, 1)
         await trio.sleep(0.5)
-        await messages.take(make_heartbeat("vm-1", 2), "10.0.0.1")
+        await messages.handle(make_heartbeat("vm-1", 2), "10.0.0.1")
         self.assertEqual(peers.told, 1)
         await trio.sleep(5)
-        await messages.take(make_heartbeat("vm-1", 3), "10.0.0.1")
+        await messages.handle(make_heartbeat("vm-1", 3), "10.0.0.1")
         self.assertEqual(peers.told, 2)
 
     @on_mock_clock
     async def test_domain_that_is_heard_first_is_passed_on_and_told_at_once(self):
         messages, peers = self.make_vm()
-        await messages.take(make_news("ven-a", 1), "10.0.1.1")
+        await messages.handle(make_news("ven-a", 1), "10.0.1.1")
         self.assertEqual((peers.told, peers.passed_on), (1, 1))
         await trio.sleep(1)
-        await messages.take(make_news("ven-a", 2), "10.0.1.1")
+        await messages.handle(make_news("ven-a", 2), "10.0.1.1")
         self.assertEqual((peers.told, peers.passed_on), (1, 1))
 
     @on_mock_clock
     async def test_many_that_start_at_once_are_told_together(self):
         messages, peers = self.make_vm()
         for n in range(1, 40):
-            await messages.take(make_heartbeat(f"vm-{n}"), f"10.0.0.{n}")
+            await messages.handle(make_heartbeat(f"vm-{n}"), f"10.0.0.{n}")
         self.assertEqual(peers.told, 1)
