--- a/packages/gateway/plantainshed_gateway/peers.py
+++ b/packages/gateway/plantainshed_gateway/peers.py
@@ -146,9 +146,9 @@
         while True:
             await trio.lowlevel.wait_readable(self.socket)
             for data, ip in self._at_hand():
-                await self.take(data, ip)
+                await self.handle_datagram(data, ip)
 
-    async def take(self, data: bytes, ip: str):
+    async def handle_datagram(self, data: bytes, ip: str):
         """Act on one datagram; `ip` is its sender's."""
         try:
             message = decode(data)
--- a/packages/measure/plantainshed_measure/limits_model.py
+++ b/packages/measure/plantainshed_measure/limits_model.py
@@ -132,7 +132,7 @@
         inbox, self.inbox = self.inbox, []
         self.is_thawed.set()
         for data, ip in inbox:
-            await self.peers.take(data, ip)
+            await self.peers.handle_datagram(data, ip)
 
     async def leave(self):
         """Announce that this VM is about to end."""
@@ -142,7 +142,7 @@
     async def take(self, data: bytes, ip: str):
         """Take in a datagram, once the process runs."""
         if self.is_thawed.is_set():
-            await self.peers.take(data, ip)
+            await self.peers.handle_datagram(data, ip)
         else:
             self.inbox.append((data, ip))
 
