--- a/packages/gateway/plantainshed_gateway/peers.py
+++ b/packages/gateway/plantainshed_gateway/peers.py
@@ -29,7 +29,7 @@
 
 HEARTBEAT_S = 0.5
 # News goes to other failure domains with each second heartbeat.
-NEWS_EVERY = 2
+HEARTBEATS_PER_SUMMARY = 2
 MAX_DATAGRAM_BYTES = 60_000
 # Datagrams that are taken in before other tasks have their turn: to decode one
 # takes 0.2 to 0.4 ms with 80 workspaces.
@@ -101,7 +101,7 @@
     async def send_heartbeats(self):
         """Send heartbeats until cancelled."""
         for number in itertools.count():
-            await self.send_now(to_far=number % NEWS_EVERY == 0)
+            await self.send_now(to_far=number % HEARTBEATS_PER_SUMMARY == 0)
             self._log_changes()
             await trio.sleep(HEARTBEAT_S)
 
--- a/packages/measure/plantainshed_measure/limits_model.py
+++ b/packages/measure/plantainshed_measure/limits_model.py
@@ -18,7 +18,7 @@
 from plantainshed_gateway.members import Members
 from plantainshed_gateway.model import Workspace
 from plantainshed_gateway.peer_messages import PeerMessageHandler
-from plantainshed_gateway.peers import HEARTBEAT_S, NEWS_EVERY, Peers
+from plantainshed_gateway.peers import HEARTBEAT_S, HEARTBEATS_PER_SUMMARY, Peers
 from plantainshed_gateway.poison import PoisonBook
 from plantainshed_gateway.quota import Quotas
 from plantainshed_gateway.round_trips import RoundTrips
@@ -172,7 +172,7 @@
     async def _send_heartbeats(self):
         number = 0
         while True:
-            await self.peers.send_now(to_far=number % NEWS_EVERY == 0)
+            await self.peers.send_now(to_far=number % HEARTBEATS_PER_SUMMARY == 0)
             await trio.sleep(HEARTBEAT_S)
             await self.is_thawed.wait()
             number += 1
