--- a/packages/gateway/plantainshed_gateway/members.py
+++ b/packages/gateway/plantainshed_gateway/members.py
@@ -170,7 +170,7 @@
         elif not member.is_alive:
             member.ip = ip
 
-    def take(self, heartbeat: Heartbeat, ip: str) -> bool:
+    def record_heartbeat(self, heartbeat: Heartbeat, ip: str) -> bool:
         """Take in a heartbeat; tell whether it is newer than what is known."""
         if heartbeat.vm == self.own.vm:
             return False
--- a/packages/gateway/plantainshed_gateway/peer_messages.py
+++ b/packages/gateway/plantainshed_gateway/peer_messages.py
@@ -88,7 +88,7 @@
 
     async def _take_near(self, heartbeat: Heartbeat, ip: str):
         was_alive = self.members.is_alive(heartbeat.vm)
-        if not self.members.take(heartbeat, ip):
+        if not self.members.record_heartbeat(heartbeat, ip):
             return
         self._on_heartbeat(heartbeat)
         await self._tell_roster(heartbeat, ip)
--- a/tests/gateway/fleet_support.py
+++ b/tests/gateway/fleet_support.py
@@ -120,4 +120,4 @@
                 if receiver.members.wants_news(*told_by):
                     receiver.members.take_news(packed.unpack())
         else:
-            receiver.members.take(message, sender.ip)
+            receiver.members.record_heartbeat(message, sender.ip)
--- a/tests/gateway/test_freshness.py
+++ b/tests/gateway/test_freshness.py
@@ -342,12 +342,12 @@
         """Nobody of a domain polled while the store turned its first speaker away."""
         members = make_members("vm-0")
         beat = make_heartbeat("vm-1", is_in_touch=True)
-        members.take(beat, "10.0.0.1")
+        members.record_heartbeat(beat, "10.0.0.1")
         speakers = Speakers(members)
         is_first = speakers.names()[0] == "vm-0"
         self.assertEqual(speakers.is_first_in_touch(), is_first)
         lost = make_heartbeat("vm-1", 2, is_in_touch=False)
-        members.take(lost, "10.0.0.1")
+        members.record_heartbeat(lost, "10.0.0.1")
         self.assertTrue(speakers.is_first_in_touch())
         members.own = make_heartbeat("vm-0", 2, state=VmState.LEAVING)
         self.assertFalse(speakers.is_first_in_touch())
--- a/tests/gateway/test_loans.py
+++ b/tests/gateway/test_loans.py
@@ -51,7 +51,7 @@
             heartbeat = make_heartbeat(
                 f"vm-{n}", 2 + self.asked, usage=self.quotas[n].usage()
             )
-            self.members[1 - n].take(heartbeat, f"10.0.0.{n}")
+            self.members[1 - n].record_heartbeat(heartbeat, f"10.0.0.{n}")
         for quotas in self.quotas:
             quotas.recompute_shares()
 
--- a/tests/gateway/test_state.py
+++ b/tests/gateway/test_state.py
@@ -271,7 +271,7 @@
     @on_mock_clock
     async def test_silent_vm_is_left_out_of_lookups(self):
         members = make_members()
-        members.take(make_heartbeat("vm-1"), "10.0.0.1")
+        members.record_heartbeat(make_heartbeat("vm-1"), "10.0.0.1")
         table = LookupTable(members, 5.0)
         lookup = Lookup("h", "lombardia", "mil-a")
         self.assertEqual(table.addresses(lookup), ["vm-0:1", "vm-1:1"])
@@ -281,20 +281,24 @@
     @on_mock_clock
     async def test_leaving_vm_is_left_out_at_once(self):
         members = make_members()
-        members.take(make_heartbeat("vm-1"), "10.0.0.1")
+        members.record_heartbeat(make_heartbeat("vm-1"), "10.0.0.1")
         leaving = make_heartbeat("vm-1", 2, state=VmState.LEAVING)
-        members.take(leaving, "10.0.0.1")
+        members.record_heartbeat(leaving, "10.0.0.1")
         table = LookupTable(members, 5.0)
         self.assertEqual(table.addresses(Lookup("h", "lombardia", "mil-a")), ["vm-0:1"])
 
     @on_mock_clock
     async def test_late_heartbeat_changes_nothing(self):
         members = make_members()
-        members.take(make_heartbeat("vm-1", 5, state=VmState.LEAVING), "10.0.0.1")
-        self.assertFalse(members.take(make_heartbeat("vm-1", 4), "10.0.0.1"))
+        members.record_heartbeat(
+            make_heartbeat("vm-1", 5, state=VmState.LEAVING), "10.0.0.1"
+        )
+        self.assertFalse(
+            members.record_heartbeat(make_heartbeat("vm-1", 4), "10.0.0.1")
+        )
         self.assertEqual([b.vm for b in members.ready()], ["vm-0"])
         newer = make_heartbeat("vm-1", 1, incarnation=2)
-        self.assertTrue(members.take(newer, "10.0.0.1"))
+        self.assertTrue(members.record_heartbeat(newer, "10.0.0.1"))
 
     @on_mock_clock
     async def test_callers_of_a_lost_region_are_sent_elsewhere(self):
