--- a/packages/gateway/plantainshed_gateway/connections.py
+++ b/packages/gateway/plantainshed_gateway/connections.py
@@ -76,7 +76,7 @@
         timeout_s = ACCEPT_S + self.round_trips.wait_s(failure_domain)
         began_at = trio.current_time()
         connection = await self.connect(state.entry.address, timeout_s)
-        self.round_trips.note(failure_domain, trio.current_time() - began_at)
+        self.round_trips.record(failure_domain, trio.current_time() - began_at)
         return connection
 
     def _take_idle(
--- a/packages/gateway/plantainshed_gateway/loans.py
+++ b/packages/gateway/plantainshed_gateway/loans.py
@@ -259,7 +259,7 @@
         if ask is None:
             return
         took_s = trio.current_time() - ask.asked_at
-        self.round_trips.note(ask.lender.failure_domain, took_s)
+        self.round_trips.record(ask.lender.failure_domain, took_s)
         tokens = max(0.0, min(MOST_LENT, loan.tokens))
         self.quotas.add(ask.workspace, tokens)
         ask.round.note_answer(tokens)
--- a/packages/gateway/plantainshed_gateway/round_trips.py
+++ b/packages/gateway/plantainshed_gateway/round_trips.py
@@ -45,7 +45,7 @@
         self.log = log
         self._measured: dict[str, _Measured] = {}
 
-    def note(self, failure_domain: str, seconds: float):
+    def record(self, failure_domain: str, seconds: float):
         """Take in one round trip."""
         measured = self._measured.setdefault(failure_domain, _Measured())
         measured.newest.append(seconds)
--- a/packages/measure/plantainshed_measure/limits_model.py
+++ b/packages/measure/plantainshed_measure/limits_model.py
@@ -192,7 +192,7 @@
                 continue
             seconds = self.fleet.round_trip_s(self.place.ip, place.ip)
             if seconds is not None:
-                self.round_trips.note(domain, seconds)
+                self.round_trips.record(domain, seconds)
 
     async def _know_vms(self):
         while True:
--- a/packages/measure/plantainshed_measure/placing_model.py
+++ b/packages/measure/plantainshed_measure/placing_model.py
@@ -180,7 +180,7 @@
         log = DecisionLog(name, region, io.StringIO())
         self.round_trips = RoundTrips(self.registry.region_of, log)
         for other in world.regions:
-            self.round_trips.note(other, fleet.round_trip_s(region, other))
+            self.round_trips.record(other, fleet.round_trip_s(region, other))
         self.connections = TargetConnections(self.round_trips, self._connect)
         self.queues = QueueLimits(self.round_trips)
         self.placement = Placement(
--- a/tests/gateway/linked_fleet.py
+++ b/tests/gateway/linked_fleet.py
@@ -66,7 +66,7 @@
         )
         for domain in fleet.region_of:
             if fleet.region_of[domain] != fleet.region_of[self.domain]:
-                self.round_trips.note(domain, 2 * fleet.one_way_s)
+                self.round_trips.record(domain, 2 * fleet.one_way_s)
 
     def beat(self, usage):
         self.number += 1
