--- a/packages/gateway/plantainshed_gateway/placement.py
+++ b/packages/gateway/plantainshed_gateway/placement.py
@@ -170,7 +170,7 @@
 
     def _expected_s(self, state: TargetState) -> float:
         """Return the time until an answer, but for the run itself."""
-        round_trip_s = self.round_trips.seconds(state.entry.failure_domain)
+        round_trip_s = self.round_trips.estimate_s(state.entry.failure_domain)
         if not self.connections.has_idle(state):
             round_trip_s *= 2
         return round_trip_s + self.queues.expected_wait_s(state)
--- a/packages/gateway/plantainshed_gateway/round_trips.py
+++ b/packages/gateway/plantainshed_gateway/round_trips.py
@@ -81,14 +81,14 @@
         ]
         return min(near) if near else None
 
-    def seconds(self, failure_domain: str) -> float:
+    def estimate_s(self, failure_domain: str) -> float:
         """Return the usual round trip, or one that is rather too long."""
         known = self.known_s(failure_domain)
         return UNKNOWN_S if known is None else known
 
     def wait_s(self, failure_domain: str) -> float:
         """Return how long to wait for an answer of a VM or target there."""
-        expected = WAITED_ROUND_TRIPS * self.seconds(failure_domain)
+        expected = WAITED_ROUND_TRIPS * self.estimate_s(failure_domain)
         return min(LONGEST_WAIT_S, expected + ANSWERING_S)
 
     def longest_s(self) -> float:
