--- a/packages/gateway/plantainshed_gateway/gateway.py
+++ b/packages/gateway/plantainshed_gateway/gateway.py
@@ -220,7 +220,7 @@
             state=self.state,
             known=known,
             weight=settings.link_mbps,
-            is_in_touch=all(f.is_in_touch for f in self.followers.values()),
+            is_store_reachable=all(f.is_in_touch for f in self.followers.values()),
             callers=settings.listen.callers,
             control=settings.listen.control,
             newest=newest,
--- a/packages/gateway/plantainshed_gateway/heartbeats.py
+++ b/packages/gateway/plantainshed_gateway/heartbeats.py
@@ -58,7 +58,7 @@
         Number of VMs that it knows, itself included.
     weight : float
         What its link carries, in Mbit/s.
-    is_in_touch : bool
+    is_store_reachable : bool
         Whether the store answered its last calls.
     newest : dict of str to int
         Revision of the newest change that it knows, by collection.
@@ -78,7 +78,7 @@
     control: str
     known: int = 1
     weight: float = 1.0
-    is_in_touch: bool = False
+    is_store_reachable: bool = False
     newest: dict[str, int] = field(factory=dict)
     usage: dict[str, Use] = field(factory=dict)
     deaths: tuple[tuple[str, str], ...] = ()
--- a/packages/gateway/plantainshed_gateway/speakers.py
+++ b/packages/gateway/plantainshed_gateway/speakers.py
@@ -76,14 +76,14 @@
         if self.members.own.vm in names:
             return False
         table = self.members.table
-        return any(table[name].heartbeat.is_in_touch for name in names)
+        return any(table[name].heartbeat.is_store_reachable for name in names)
 
     def is_first_in_touch(self) -> bool:
         """Tell whether no VM that speaks before this one hears from the store."""
         for name in self.names():
             if name == self.members.own.vm:
                 return True
-            if self.members.table[name].heartbeat.is_in_touch:
+            if self.members.table[name].heartbeat.is_store_reachable:
                 return False
         return False
 
--- a/tests/gateway/test_freshness.py
+++ b/tests/gateway/test_freshness.py
@@ -341,12 +341,12 @@
     async def test_next_speaker_polls_while_the_first_hears_nothing(self):
         """Nobody of a domain polled while the store turned its first speaker away."""
         members = make_members("vm-0")
-        beat = make_heartbeat("vm-1", is_in_touch=True)
+        beat = make_heartbeat("vm-1", is_store_reachable=True)
         members.record_heartbeat(beat, "10.0.0.1")
         speakers = Speakers(members)
         is_first = speakers.names()[0] == "vm-0"
         self.assertEqual(speakers.is_first_in_touch(), is_first)
-        lost = make_heartbeat("vm-1", 2, is_in_touch=False)
+        lost = make_heartbeat("vm-1", 2, is_store_reachable=False)
         members.record_heartbeat(lost, "10.0.0.1")
         self.assertTrue(speakers.is_first_in_touch())
         members.own = make_heartbeat("vm-0", 2, state=VmState.LEAVING)
