--- a/packages/gateway/plantainshed_gateway/gateway.py
+++ b/packages/gateway/plantainshed_gateway/gateway.py
@@ -119,7 +119,7 @@
                 collection,
                 self._on_change,
                 context.log,
-                self.speakers.are_in_touch,
+                self.speakers.can_reach_store,
             )
             for collection in FOLLOWED
         }
--- a/packages/gateway/plantainshed_gateway/speakers.py
+++ b/packages/gateway/plantainshed_gateway/speakers.py
@@ -67,7 +67,7 @@
         """Whether this VM speaks for its failure domain."""
         return self.members.own.vm in self.names()
 
-    def are_in_touch(self) -> bool:
+    def can_reach_store(self) -> bool:
         """Tell whether other VMs watch the store for this one.
 
         They do if they speak for the failure domain and the store answers them.
