--- a/packages/gateway/plantainshed_gateway/gateway.py
+++ b/packages/gateway/plantainshed_gateway/gateway.py
@@ -124,7 +124,7 @@
             for collection in FOLLOWED
         }
         self.freshness = Freshness(
-            self.followers, self.speakers.is_first_in_touch, settings.vm
+            self.followers, self.speakers.is_first_to_reach_store, settings.vm
         )
         self.state_taker = StateTaker(
             surroundings.decoder,
--- a/packages/gateway/plantainshed_gateway/speakers.py
+++ b/packages/gateway/plantainshed_gateway/speakers.py
@@ -78,7 +78,7 @@
         table = self.members.table
         return any(table[name].heartbeat.is_store_reachable for name in names)
 
-    def is_first_in_touch(self) -> bool:
+    def is_first_to_reach_store(self) -> bool:
         """Tell whether no VM that speaks before this one hears from the store."""
         for name in self.names():
             if name == self.members.own.vm:
--- a/tests/gateway/test_freshness.py
+++ b/tests/gateway/test_freshness.py
@@ -345,9 +345,9 @@
         members.record_heartbeat(beat, "10.0.0.1")
         speakers = Speakers(members)
         is_first = speakers.names()[0] == "vm-0"
-        self.assertEqual(speakers.is_first_in_touch(), is_first)
+        self.assertEqual(speakers.is_first_to_reach_store(), is_first)
         lost = make_heartbeat("vm-1", 2, is_store_reachable=False)
         members.record_heartbeat(lost, "10.0.0.1")
-        self.assertTrue(speakers.is_first_in_touch())
+        self.assertTrue(speakers.is_first_to_reach_store())
         members.own = make_heartbeat("vm-0", 2, state=VmState.LEAVING)
-        self.assertFalse(speakers.is_first_in_touch())
+        self.assertFalse(speakers.is_first_to_reach_store())
