--- a/packages/gateway/plantainshed_gateway/gateway.py
+++ b/packages/gateway/plantainshed_gateway/gateway.py
@@ -223,7 +223,7 @@
             is_store_reachable=all(f.is_in_touch for f in self.followers.values()),
             callers=settings.listen.callers,
             control=settings.listen.control,
-            newest=newest,
+            newest_revisions=newest,
             usage=use,
             deaths=self.poison.to_tell(),
         )
--- a/packages/gateway/plantainshed_gateway/heartbeats.py
+++ b/packages/gateway/plantainshed_gateway/heartbeats.py
@@ -60,7 +60,7 @@
         What its link carries, in Mbit/s.
     is_store_reachable : bool
         Whether the store answered its last calls.
-    newest : dict of str to int
+    newest_revisions : dict of str to int
         Revision of the newest change that it knows, by collection.
     usage : dict of str to Use
         By workspace.
@@ -79,7 +79,7 @@
     known: int = 1
     weight: float = 1.0
     is_store_reachable: bool = False
-    newest: dict[str, int] = field(factory=dict)
+    newest_revisions: dict[str, int] = field(factory=dict)
     usage: dict[str, Use] = field(factory=dict)
     deaths: tuple[tuple[str, str], ...] = ()
 
@@ -149,7 +149,7 @@
     age_s : float
         Age of the oldest heartbeat that the sums rest on.
     vms : tuple of VmSummary
-    newest : dict of str to int
+    newest_revisions : dict of str to int
         Revision of the newest change that the speaker knows, by collection.
     usage : dict of str to UseSummary
         By workspace.
@@ -164,7 +164,7 @@
     control: str
     age_s: float
     vms: tuple[VmSummary, ...] = ()
-    newest: dict[str, int] = field(factory=dict)
+    newest_revisions: dict[str, int] = field(factory=dict)
     usage: dict[str, UseSummary] = field(factory=dict)
     deaths: tuple[tuple[str, str], ...] = ()
 
--- a/packages/gateway/plantainshed_gateway/speakers.py
+++ b/packages/gateway/plantainshed_gateway/speakers.py
@@ -133,7 +133,7 @@
             control=own.control,
             age_s=round(max(ages), 2),
             vms=tuple(_summary(member, now) for member in known),
-            newest=own.newest,
+            newest_revisions=own.newest_revisions,
             usage={name: _rounded(sums.of(name)) for name in names},
             deaths=own.deaths,
         )
