--- a/packages/gateway/plantainshed_gateway/gateway.py
+++ b/packages/gateway/plantainshed_gateway/gateway.py
@@ -221,7 +221,7 @@
             known=known,
             weight=settings.link_mbps,
             is_store_reachable=all(f.is_in_touch for f in self.followers.values()),
-            callers=settings.listen.callers,
+            caller_address=settings.listen.callers,
             control=settings.listen.control,
             newest_revisions=newest,
             usage=use,
--- a/packages/gateway/plantainshed_gateway/heartbeats.py
+++ b/packages/gateway/plantainshed_gateway/heartbeats.py
@@ -50,7 +50,7 @@
     number : int
         Grows with each heartbeat of an incarnation.
     state : VmState
-    callers : str
+    caller_address : str
         ``IP:PORT`` for callers.
     control : str
         ``IP:PORT`` for other VMs.
@@ -74,7 +74,7 @@
     incarnation: int
     number: int
     state: VmState
-    callers: str
+    caller_address: str
     control: str
     known: int = 1
     weight: float = 1.0
@@ -94,7 +94,7 @@
     incarnation, number : int
         Of the newest heartbeat.
     state : VmState
-    callers : str
+    caller_address : str
     weight : float
     age_s : float
         Time since that heartbeat was heard.
@@ -105,7 +105,7 @@
     incarnation: int
     number: int
     state: VmState
-    callers: str
+    caller_address: str
     weight: float
     age_s: float
 
--- a/packages/gateway/plantainshed_gateway/lookup.py
+++ b/packages/gateway/plantainshed_gateway/lookup.py
@@ -42,4 +42,4 @@
         chosen = near or ready
         if len(chosen) > MOST_ADDRESSES:
             chosen = self.random.sample(chosen, MOST_ADDRESSES)
-        return [beat.callers for beat in chosen]
+        return [beat.caller_address for beat in chosen]
--- a/packages/gateway/plantainshed_gateway/members.py
+++ b/packages/gateway/plantainshed_gateway/members.py
@@ -386,7 +386,7 @@
         incarnation=summary.incarnation,
         number=summary.number,
         state=summary.state,
-        callers=summary.callers,
+        caller_address=summary.caller_address,
         control="",
         weight=summary.weight,
     )
--- a/packages/gateway/plantainshed_gateway/speakers.py
+++ b/packages/gateway/plantainshed_gateway/speakers.py
@@ -183,7 +183,7 @@
         incarnation=beat.incarnation,
         number=beat.number,
         state=beat.state,
-        callers=beat.callers,
+        caller_address=beat.caller_address,
         weight=beat.weight,
         age_s=round(now - member.heard_at, 2),
     )
@@ -208,4 +208,4 @@
 
 
 def _ip_of(beat: Heartbeat) -> str:
-    return beat.callers.rpartition(":")[0]
+    return beat.caller_address.rpartition(":")[0]
--- a/packages/measure/plantainshed_measure/limits_model.py
+++ b/packages/measure/plantainshed_measure/limits_model.py
@@ -234,7 +234,7 @@
             incarnation=self.incarnation,
             number=self.heartbeat_number,
             state=self.state,
-            callers=f"{self.place.ip}:80",
+            caller_address=f"{self.place.ip}:80",
             control=f"{self.place.ip}:81",
             known=known,
             weight=LINK_MBPS,
--- a/tests/gateway/fleet_support.py
+++ b/tests/gateway/fleet_support.py
@@ -34,7 +34,7 @@
             incarnation=self.incarnation,
             state=self.state,
             weight=self.weight,
-            callers=f"{self.ip}:1",
+            caller_address=f"{self.ip}:1",
             control=f"{self.ip}:2",
             usage=usage or {},
         )
--- a/tests/gateway/gateway_support.py
+++ b/tests/gateway/gateway_support.py
@@ -105,7 +105,7 @@
             "incarnation": 1,
             "number": number,
             "state": VmState.READY,
-            "callers": f"{vm}:1",
+            "caller_address": f"{vm}:1",
             "control": f"{vm}:2",
             **more,
         }
--- a/tests/gateway/linked_fleet.py
+++ b/tests/gateway/linked_fleet.py
@@ -77,7 +77,7 @@
             region=self.fleet.region_of[self.domain],
             incarnation=self.incarnation,
             state=VmState.READY,
-            callers=f"{self.ip}:1",
+            caller_address=f"{self.ip}:1",
             control=f"{self.ip}:2",
             known=self.fleet.count,
             weight=100.0,
