--- a/packages/gateway/plantainshed_gateway/gateway.py
+++ b/packages/gateway/plantainshed_gateway/gateway.py
@@ -222,7 +222,7 @@
             weight=settings.link_mbps,
             is_store_reachable=all(f.is_in_touch for f in self.followers.values()),
             caller_address=settings.listen.callers,
-            control=settings.listen.control,
+            control_address=settings.listen.control,
             newest_revisions=newest,
             usage=use,
             deaths=self.poison.to_tell(),
--- a/packages/gateway/plantainshed_gateway/heartbeats.py
+++ b/packages/gateway/plantainshed_gateway/heartbeats.py
@@ -52,7 +52,7 @@
     state : VmState
     caller_address : str
         ``IP:PORT`` for callers.
-    control : str
+    control_address : str
         ``IP:PORT`` for other VMs.
     known : int
         Number of VMs that it knows, itself included.
@@ -75,7 +75,7 @@
     number: int
     state: VmState
     caller_address: str
-    control: str
+    control_address: str
     known: int = 1
     weight: float = 1.0
     is_store_reachable: bool = False
@@ -144,7 +144,7 @@
         VM that speaks.
     incarnation, number : int
         Of its news; higher ones are newer.
-    control : str
+    control_address : str
         Speaker's ``IP:PORT`` for other VMs.
     age_s : float
         Age of the oldest heartbeat that the sums rest on.
@@ -161,7 +161,7 @@
     speaker: str
     incarnation: int
     number: int
-    control: str
+    control_address: str
     age_s: float
     vms: tuple[VmSummary, ...] = ()
     newest_revisions: dict[str, int] = field(factory=dict)
--- a/packages/gateway/plantainshed_gateway/members.py
+++ b/packages/gateway/plantainshed_gateway/members.py
@@ -387,7 +387,7 @@
         number=summary.number,
         state=summary.state,
         caller_address=summary.caller_address,
-        control="",
+        control_address="",
         weight=summary.weight,
     )
 
--- a/packages/gateway/plantainshed_gateway/peer_messages.py
+++ b/packages/gateway/plantainshed_gateway/peer_messages.py
@@ -163,12 +163,14 @@
         if not self.members.take_news(news):
             return False
         self.poison.take(news.deaths)
-        self._follow(news.newest_revisions, news.control, is_near=False)
+        self._follow(news.newest_revisions, news.control_address, is_near=False)
         return True
 
     def _on_heartbeat(self, heartbeat: Heartbeat):
         self.poison.take(heartbeat.deaths)
-        self._follow(heartbeat.newest_revisions, heartbeat.control, is_near=True)
+        self._follow(
+            heartbeat.newest_revisions, heartbeat.control_address, is_near=True
+        )
 
     def _follow(self, newest_of: dict[str, int], control: str, is_near: bool):
         """Fetch from another VM what it knows and this one does not."""
--- a/packages/gateway/plantainshed_gateway/speakers.py
+++ b/packages/gateway/plantainshed_gateway/speakers.py
@@ -130,7 +130,7 @@
             speaker=own.vm,
             incarnation=own.incarnation,
             number=next(self._numbers),
-            control=own.control,
+            control_address=own.control_address,
             age_s=round(max(ages), 2),
             vms=tuple(_summary(member, now) for member in known),
             newest_revisions=own.newest_revisions,
--- a/packages/measure/plantainshed_measure/limits_model.py
+++ b/packages/measure/plantainshed_measure/limits_model.py
@@ -235,7 +235,7 @@
             number=self.heartbeat_number,
             state=self.state,
             caller_address=f"{self.place.ip}:80",
-            control=f"{self.place.ip}:81",
+            control_address=f"{self.place.ip}:81",
             known=known,
             weight=LINK_MBPS,
             usage=use,
--- a/tests/gateway/fleet_support.py
+++ b/tests/gateway/fleet_support.py
@@ -35,7 +35,7 @@
             state=self.state,
             weight=self.weight,
             caller_address=f"{self.ip}:1",
-            control=f"{self.ip}:2",
+            control_address=f"{self.ip}:2",
             usage=usage or {},
         )
 
--- a/tests/gateway/gateway_support.py
+++ b/tests/gateway/gateway_support.py
@@ -106,7 +106,7 @@
             "number": number,
             "state": VmState.READY,
             "caller_address": f"{vm}:1",
-            "control": f"{vm}:2",
+            "control_address": f"{vm}:2",
             **more,
         }
     )
--- a/tests/gateway/linked_fleet.py
+++ b/tests/gateway/linked_fleet.py
@@ -78,7 +78,7 @@
             incarnation=self.incarnation,
             state=VmState.READY,
             caller_address=f"{self.ip}:1",
-            control=f"{self.ip}:2",
+            control_address=f"{self.ip}:2",
             known=self.fleet.count,
             weight=100.0,
             usage=usage,
