--- a/packages/gateway/plantainshed_gateway/gateway.py
+++ b/packages/gateway/plantainshed_gateway/gateway.py
@@ -218,7 +218,7 @@
             incarnation=self.context.incarnation,
             number=self.heartbeat_number,
             state=self.state,
-            known=known,
+            known_vm_count=known,
             weight=settings.link_mbps,
             is_store_reachable=all(f.is_in_touch for f in self.followers.values()),
             caller_address=settings.listen.callers,
--- a/packages/gateway/plantainshed_gateway/heartbeats.py
+++ b/packages/gateway/plantainshed_gateway/heartbeats.py
@@ -54,7 +54,7 @@
         ``IP:PORT`` for callers.
     control_address : str
         ``IP:PORT`` for other VMs.
-    known : int
+    known_vm_count : int
         Number of VMs that it knows, itself included.
     weight : float
         What its link carries, in Mbit/s.
@@ -76,7 +76,7 @@
     state: VmState
     caller_address: str
     control_address: str
-    known: int = 1
+    known_vm_count: int = 1
     weight: float = 1.0
     is_store_reachable: bool = False
     newest_revisions: dict[str, int] = field(factory=dict)
--- a/packages/gateway/plantainshed_gateway/peer_messages.py
+++ b/packages/gateway/plantainshed_gateway/peer_messages.py
@@ -124,7 +124,10 @@
         """
         now = trio.current_time()
         told_at = self._roster_told_at.get(heartbeat.vm, float("-inf"))
-        if heartbeat.known >= self.members.count or now - told_at < ROSTER_PAUSE_S:
+        if (
+            heartbeat.known_vm_count >= self.members.count
+            or now - told_at < ROSTER_PAUSE_S
+        ):
             return
         self._roster_told_at[heartbeat.vm] = now
         table = self.members.table
--- a/packages/measure/plantainshed_measure/limits_model.py
+++ b/packages/measure/plantainshed_measure/limits_model.py
@@ -236,7 +236,7 @@
             state=self.state,
             caller_address=f"{self.place.ip}:80",
             control_address=f"{self.place.ip}:81",
-            known=known,
+            known_vm_count=known,
             weight=LINK_MBPS,
             usage=use,
         )
--- a/tests/gateway/linked_fleet.py
+++ b/tests/gateway/linked_fleet.py
@@ -79,7 +79,7 @@
             state=VmState.READY,
             caller_address=f"{self.ip}:1",
             control_address=f"{self.ip}:2",
-            known=self.fleet.count,
+            known_vm_count=self.fleet.count,
             weight=100.0,
             usage=usage,
         )
