--- a/packages/gateway/plantainshed_gateway/datagrams.py
+++ b/packages/gateway/plantainshed_gateway/datagrams.py
@@ -10,11 +10,17 @@
 import orjson
 from attrs import frozen
 
-from .heartbeats import Bundle, DomainNews, Heartbeat, Use, UseSummary
+from .heartbeats import (
+    DomainSummary,
+    Heartbeat,
+    QuotaUsage,
+    SummaryBundle,
+    UsageSummary,
+)
 
 
 @frozen
-class TokenAsk:
+class TokenRequest:
     """A VM asks another for tokens of a workspace's quota.
 
     Parameters
@@ -24,17 +30,17 @@
     number : int
         Names the question; the answer bears it.
     workspace : str
-    most : float
+    max_tokens : float
         Tokens that it can use.
-    kept : float
+    reserved : float
         Tokens that the other keeps for its own callers.
     """
 
     vm: str
     number: int
     workspace: str
-    most: float = 1.0
-    kept: float = 0.0
+    max_tokens: float = 1.0
+    reserved: float = 0.0
 
 
 @frozen
@@ -46,7 +52,7 @@
 
 
 @frozen
-class Roster:
+class MemberList:
     """Which VMs the sender knows, for one that knows fewer.
 
     Parameters
@@ -58,22 +64,24 @@
     vms: dict[str, tuple[str, str]]
 
 
-Message = Heartbeat | DomainNews | Bundle | TokenAsk | TokenLoan | Roster
+Message = (
+    Heartbeat | DomainSummary | SummaryBundle | TokenRequest | TokenLoan | MemberList
+)
 _BY_TAG = {
     "h": Heartbeat,
-    "n": DomainNews,
-    "b": Bundle,
-    "a": TokenAsk,
+    "n": DomainSummary,
+    "b": SummaryBundle,
+    "a": TokenRequest,
     "l": TokenLoan,
-    "r": Roster,
+    "r": MemberList,
 }
 # From here on a message shrinks by more than half (2.3 KB to 0.9, 4.5 KB to 1.1)
 # for 8 to 53 us of processor time.
-COMPRESSED_FROM_BYTES = 600
+COMPRESSION_THRESHOLD_BYTES = 600
 COMPRESSION_LEVEL = 1
-ZLIB_START = b"\x78"
+ZLIB_HEADER = b"\x78"
 # Bounds what a forged datagram can unpack to.
-MOST_PLAIN_BYTES = 1_000_000
+MAX_DECOMPRESSED_BYTES = 1_000_000
 _TAG_OF = {kind: tag for tag, kind in _BY_TAG.items()}
 _CONVERTER = cattrs.Converter(
     unstruct_strat=cattrs.UnstructureStrategy.AS_TUPLE, detailed_validation=False
@@ -84,22 +92,31 @@
 # decoded in 0.18 ms, by the converter alone in 0.33; a VM of a domain of 13 takes
 # in 24 of them a second.
 _CONVERTER.register_unstructure_hook(
-    Use, lambda usage: (usage.demand, usage.share, usage.level)
+    QuotaUsage, lambda usage: (usage.demand, usage.share, usage.level)
 )
 _CONVERTER.register_unstructure_hook(
-    UseSummary,
-    lambda usage: (usage.demand, usage.share, usage.kept, usage.level, usage.lender),
+    UsageSummary,
+    lambda usage: (
+        usage.demand,
+        usage.share,
+        usage.silent_share,
+        usage.level,
+        usage.lender,
+    ),
+)
+_CONVERTER.register_structure_hook(
+    SummaryBundle, lambda fields, _: _structure_bundle(fields)
 )
-_CONVERTER.register_structure_hook(Bundle, lambda fields, _: _bundle(fields))
 _CONVERTER.register_structure_hook_func(
-    lambda kind: kind == dict[str, Use], lambda fields, _: _by_name(fields, _use)
+    lambda kind: kind == dict[str, QuotaUsage],
+    lambda fields, _: _structure_by_name(fields, _structure_usage),
 )
 _CONVERTER.register_structure_hook_func(
-    lambda kind: kind == dict[str, UseSummary],
-    lambda fields, _: _by_name(fields, _use_summary),
+    lambda kind: kind == dict[str, UsageSummary],
+    lambda fields, _: _structure_by_name(fields, _structure_usage_summary),
 )
 # What the converter raises on fields of another shape than a message's.
-_NOT_A_MESSAGE = (
+_DECODING_ERRORS = (
     cattrs.BaseValidationError,
     AttributeError,
     IndexError,
@@ -109,13 +126,13 @@
 
 
 @frozen
-class PackedNews:
+class PackedSummary:
     """News as it came in a bundle: most is known already and not decoded.
 
     Parameters
     ----------
     fields : list
-        Of a `DomainNews`, by position.
+        Of a `DomainSummary`, by position.
     """
 
     fields: list
@@ -131,34 +148,34 @@
         return self.fields[2]
 
     @property
-    def order(self) -> tuple[int, int]:
+    def version(self) -> tuple[int, int]:
         """Incarnation and number."""
         return self.fields[3], self.fields[4]
 
-    def unpack(self) -> DomainNews:
+    def unpack(self) -> DomainSummary:
         """Return the news, or raise `ValueError`."""
         try:
-            return _CONVERTER.structure(self.fields, DomainNews)
-        except _NOT_A_MESSAGE as error:
+            return _CONVERTER.structure(self.fields, DomainSummary)
+        except _DECODING_ERRORS as error:
             raise ValueError(f"not news of a failure domain: {error!r}") from error
 
 
-def _bundle(fields) -> Bundle:
+def _structure_bundle(fields) -> SummaryBundle:
     """Return a bundle whose news can be told apart without being decoded."""
     (packed,) = fields
-    news = tuple(PackedNews(list(item)) for item in packed)
-    for item in news:
+    summaries = tuple(PackedSummary(list(item)) for item in packed)
+    for item in summaries:
         if not (isinstance(item.failure_domain, str) and isinstance(item.speaker, str)):
             raise TypeError("news must name a failure domain and its speaker")
-        if not all(isinstance(number, int) for number in item.order):
+        if not all(isinstance(number, int) for number in item.version):
             raise TypeError("news must have whole numbers")
-    return Bundle(news)
+    return SummaryBundle(summaries)
 
 
 def encode(message: Message) -> bytes:
     """Return a message's bytes."""
     data = orjson.dumps([_TAG_OF[type(message)], _CONVERTER.unstructure(message)])
-    if len(data) < COMPRESSED_FROM_BYTES:
+    if len(data) < COMPRESSION_THRESHOLD_BYTES:
         return data
     return zlib.compress(data, COMPRESSION_LEVEL)
 
@@ -166,36 +183,38 @@
 def decode(data: bytes) -> Message:
     """Return the message of a datagram, or raise `ValueError`."""
     try:
-        tag, fields = orjson.loads(_decompressed(data))
+        tag, fields = orjson.loads(_decompress(data))
         return _CONVERTER.structure(fields, _BY_TAG[tag])
-    except _NOT_A_MESSAGE as error:
+    except _DECODING_ERRORS as error:
         raise ValueError(f"not a message between VMs: {error!r}") from error
 
 
-def _by_name(fields, decode_value) -> dict:
+def _structure_by_name(fields, decode_value) -> dict:
     return {str(name): decode_value(value) for name, value in fields.items()}
 
 
-def _use(value) -> Use:
+def _structure_usage(value) -> QuotaUsage:
     demand, share, level = value
-    return Use(float(demand), float(share), float(level))
+    return QuotaUsage(float(demand), float(share), float(level))
 
 
-def _use_summary(value) -> UseSummary:
-    demand, share, kept, level, lender = value
-    return UseSummary(
-        float(demand), float(share), float(kept), float(level), str(lender)
+def _structure_usage_summary(value) -> UsageSummary:
+    demand, share, silent_share, level, lender = value
+    return UsageSummary(
+        float(demand), float(share), float(silent_share), float(level), str(lender)
     )
 
 
-def _decompressed(data: bytes) -> bytes:
-    if not data.startswith(ZLIB_START):
+def _decompress(data: bytes) -> bytes:
+    if not data.startswith(ZLIB_HEADER):
         return data
     unpacker = zlib.decompressobj()
     try:
-        plain = unpacker.decompress(data, MOST_PLAIN_BYTES)
+        plain = unpacker.decompress(data, MAX_DECOMPRESSED_BYTES)
     except zlib.error as error:
         raise ValueError(f"not a compressed message: {error}") from error
     if unpacker.unconsumed_tail:
-        raise ValueError(f"longer than {MOST_PLAIN_BYTES} bytes when decompressed")
+        raise ValueError(
+            f"longer than {MAX_DECOMPRESSED_BYTES} bytes when decompressed"
+        )
     return plain
--- a/packages/gateway/plantainshed_gateway/heartbeats.py
+++ b/packages/gateway/plantainshed_gateway/heartbeats.py
@@ -20,7 +20,7 @@
 
 
 @frozen
-class Use:
+class QuotaUsage:
     """What a VM uses of one workspace's quota.
 
     Parameters
@@ -62,7 +62,7 @@
         Whether the store answered its last calls.
     newest_revisions : dict of str to int
         Revision of the newest change that it knows, by collection.
-    usage : dict of str to Use
+    usage : dict of str to QuotaUsage
         By workspace.
     deaths : tuple of (str, str)
         Fingerprints of requests, and the target that died under each.
@@ -80,7 +80,7 @@
     weight: float = 1.0
     is_store_reachable: bool = False
     newest_revisions: dict[str, int] = field(factory=dict)
-    usage: dict[str, Use] = field(factory=dict)
+    usage: dict[str, QuotaUsage] = field(factory=dict)
     deaths: tuple[tuple[str, str], ...] = ()
 
 
@@ -111,14 +111,14 @@
 
 
 @frozen
-class UseSummary:
+class UsageSummary:
     """What a failure domain uses of one workspace's quota.
 
     Parameters
     ----------
     demand, share : float
         Sums over the VMs that are alive.
-    kept : float
+    silent_share : float
         Shares that silent VMs had; they may still use them.
     level : float
         Tokens at the VM that has most.
@@ -128,13 +128,13 @@
 
     demand: float
     share: float
-    kept: float
+    silent_share: float
     level: float
     lender: str
 
 
 @frozen
-class DomainNews:
+class DomainSummary:
     """A failure domain's state, as one of its VMs tells other domains.
 
     Parameters
@@ -151,7 +151,7 @@
     vms : tuple of VmSummary
     newest_revisions : dict of str to int
         Revision of the newest change that the speaker knows, by collection.
-    usage : dict of str to UseSummary
+    usage : dict of str to UsageSummary
         By workspace.
     deaths : tuple of (str, str)
     """
@@ -165,18 +165,18 @@
     age_s: float
     vms: tuple[VmSummary, ...] = ()
     newest_revisions: dict[str, int] = field(factory=dict)
-    usage: dict[str, UseSummary] = field(factory=dict)
+    usage: dict[str, UsageSummary] = field(factory=dict)
     deaths: tuple[tuple[str, str], ...] = ()
 
 
 @frozen
-class Bundle:
+class SummaryBundle:
     """News of several failure domains, passed on inside one.
 
     Parameters
     ----------
-    news : tuple
-        `DomainNews`; as it was received, still in the form of a datagram.
+    summaries : tuple
+        `DomainSummary`; as it was received, still in the form of a datagram.
     """
 
-    news: tuple[Any, ...]
+    summaries: tuple[Any, ...]
--- a/packages/gateway/plantainshed_gateway/holders.py
+++ b/packages/gateway/plantainshed_gateway/holders.py
@@ -14,7 +14,7 @@
 from .members import Members
 
 # Holders in each failure domain: a lost or paused one leaves another.
-HOLDERS = 2
+HOLDERS_PER_DOMAIN = 2
 
 
 class Holders:
@@ -53,30 +53,30 @@
         """Return the names of a workspace's holders."""
         order = self._orders.get(workspace)
         if order is None:
-            order = tuple(rendezvous_order(workspace, self.ips)[:HOLDERS])
+            order = tuple(rendezvous_order(workspace, self.ips)[:HOLDERS_PER_DOMAIN])
             self._orders[workspace] = order
         return order
 
-    def is_own(self, workspace: str) -> bool:
+    def is_holder(self, workspace: str) -> bool:
         """Tell whether this VM holds a part of a workspace's quota."""
         return self.own in self.of(workspace)
 
-    def asked_by(self, vm: str, workspace: str) -> str:
+    def holder_for(self, vm: str, workspace: str) -> str:
         """Return the holder that a VM asks first; itself if it is one."""
         holders = self.of(workspace)
         if vm in holders:
             return vm
         return holders[int(unit_hash(vm, workspace) * len(holders))]
 
-    def to_ask(self, workspace: str) -> list[str]:
+    def holder_ips_to_ask(self, workspace: str) -> list[str]:
         """Return the IP addresses of the holders that this VM asks, in order."""
-        first = self.asked_by(self.own, workspace)
+        first = self.holder_for(self.own, workspace)
         others = [vm for vm in self.of(workspace) if vm != first]
         return [self.ips[vm] for vm in (first, *others) if vm != self.own]
 
-    def fleet_count(self) -> int:
+    def fleet_holder_count(self) -> int:
         """Return how many holders each workspace has in all failure domains."""
         ready: dict[str, int] = {}
         for beat in self.members.ready():
             ready[beat.failure_domain] = ready.get(beat.failure_domain, 0) + 1
-        return max(1, sum(min(HOLDERS, count) for count in ready.values()))
+        return max(1, sum(min(HOLDERS_PER_DOMAIN, count) for count in ready.values()))
--- a/packages/gateway/plantainshed_gateway/members.py
+++ b/packages/gateway/plantainshed_gateway/members.py
@@ -9,32 +9,32 @@
 import trio
 from attrs import define, field, frozen
 
-from .demand import DemandThen, ToldDemand
+from .demand import DemandHistory, PastDemand
 from .heartbeats import (
-    DomainNews,
+    DomainSummary,
     Heartbeat,
-    Use,
-    UseSummary,
+    QuotaUsage,
+    UsageSummary,
     VmState,
     VmSummary,
 )
 
 # Time without a heartbeat after which a VM of the own failure domain counts as
 # silent: four of them may be lost.
-ALIVE_S = 2.6
+HEARTBEAT_TIMEOUT_S = 2.6
 # The same for other domains, whose news comes once a second and is passed on
 # within half of one. Look-ups must not name a VM that was killed 6 s ago.
-FAR_ALIVE_S = 3.8
+FAR_HEARTBEAT_TIMEOUT_S = 3.8
 # Time after a domain's news in which that of its other speaker is left aside:
 # a little less than the second between two of one speaker's.
-RECENT_S = 0.9
+DUPLICATE_SUMMARY_S = 0.9
 # How long a VM that was listed, and not heard yet, counts as about to be: its
 # first heartbeat comes within what a start and the news of its domain take.
-EXPECTED_S = 4.0
+FIRST_HEARTBEAT_WAIT_S = 4.0
 # How long the list of ready VMs is used before it is made again.
-READY_KEPT_S = 0.1
+READY_CACHE_S = 0.1
 # How long a silent VM is still sent heartbeats and keeps its part of limits.
-FORGET_S = 300.0
+FORGET_AFTER_S = 300.0
 
 
 @define
@@ -52,7 +52,7 @@
         When that was heard, by this VM or by the one that told.
     alive_s : float
         Time after that for which it counts as alive.
-    told : ToldDemand
+    demand_history : DemandHistory
         By its heartbeats; empty if it is in another failure domain.
     """
 
@@ -60,9 +60,9 @@
     failure_domain: str
     heartbeat: Heartbeat | None = None
     heard_at: float = float("-inf")
-    alive_s: float = ALIVE_S
+    alive_s: float = HEARTBEAT_TIMEOUT_S
     known_since: float = field(factory=trio.current_time)
-    told: ToldDemand = field(factory=ToldDemand)
+    demand_history: DemandHistory = field(factory=DemandHistory)
 
     @property
     def is_alive(self) -> bool:
@@ -74,12 +74,14 @@
         """Whether it was listed a moment ago and may be about to be heard."""
         if self.heartbeat is not None:
             return False
-        return trio.current_time() - self.known_since < EXPECTED_S
+        return trio.current_time() - self.known_since < FIRST_HEARTBEAT_WAIT_S
 
     @property
     def is_forgotten(self) -> bool:
         """Whether it has been silent for so long that it counts as gone."""
-        return trio.current_time() - max(self.heard_at, self.known_since) > FORGET_S
+        return (
+            trio.current_time() - max(self.heard_at, self.known_since) > FORGET_AFTER_S
+        )
 
 
 @define
@@ -88,51 +90,51 @@
 
     Attributes
     ----------
-    order : dict of str to (int, int)
+    latest_by_speaker : dict of str to (int, int)
         Incarnation and number of the newest news, by speaker.
-    told : ToldDemand
+    demand_history : DemandHistory
         By its news.
     """
 
-    summary: DomainNews
+    summary: DomainSummary
     heard_at: float
-    order: dict[str, tuple[int, int]] = field(factory=dict)
-    told: ToldDemand = field(factory=ToldDemand)
+    latest_by_speaker: dict[str, tuple[int, int]] = field(factory=dict)
+    demand_history: DemandHistory = field(factory=DemandHistory)
 
     @property
-    def said_at(self) -> float:
+    def oldest_heartbeat_at(self) -> float:
         """When the oldest heartbeat was heard that its sums rest on."""
         return self.heard_at - self.summary.age_s
 
     @property
     def is_recent(self) -> bool:
         """Whether other news of it than its speaker's next need not be taken."""
-        return trio.current_time() - self.heard_at < RECENT_S
+        return trio.current_time() - self.heard_at < DUPLICATE_SUMMARY_S
 
     @property
     def is_fresh(self) -> bool:
         """Whether the domain was heard of a moment ago."""
-        return trio.current_time() - self.heard_at < FAR_ALIVE_S
+        return trio.current_time() - self.heard_at < FAR_HEARTBEAT_TIMEOUT_S
 
 
 @frozen
-class UseTotals:
+class UsageTotals:
     """What all other VMs use of one workspace's quota.
 
     Parameters
     ----------
     demand, share : float
         Sums over VMs that are alive.
-    demand_then : float
+    past_demand : float
         The same as it was at the moment of the view.
-    kept : float
+    silent_share : float
         Shares of silent VMs; they may live behind a partition and use them.
     """
 
     demand: float
-    demand_then: float
+    past_demand: float
     share: float
-    kept: float
+    silent_share: float
 
 
 class Members:
@@ -174,19 +176,19 @@
         """Take in a heartbeat; tell whether it is newer than what is known."""
         if heartbeat.vm == self.own.vm:
             return False
-        if not self._take(heartbeat, ip, 0.0, ALIVE_S):
+        if not self._record(heartbeat, ip, 0.0, HEARTBEAT_TIMEOUT_S):
             return False
-        told = self.table[heartbeat.vm].told
-        told.note(trio.current_time(), _demand_of(heartbeat.usage))
+        demand_history = self.table[heartbeat.vm].demand_history
+        demand_history.note(trio.current_time(), _demand_by_workspace(heartbeat.usage))
         return True
 
-    def _take(self, beat: Heartbeat, ip: str, age_s: float, alive_s: float) -> bool:
+    def _record(self, beat: Heartbeat, ip: str, age_s: float, alive_s: float) -> bool:
         member = self.table.setdefault(beat.vm, Member(ip, beat.failure_domain))
         known = member.heartbeat
-        if known is not None and _order(beat) < _order(known):
+        if known is not None and _version(beat) < _version(known):
             return False
         heard_at = trio.current_time() - age_s
-        if known is not None and _order(beat) == _order(known):
+        if known is not None and _version(beat) == _version(known):
             # Told again by another VM, which may have heard it later.
             member.heard_at = max(member.heard_at, heard_at)
             return False
@@ -196,29 +198,35 @@
         member.alive_s = alive_s
         return True
 
-    def take_news(self, news: DomainNews) -> bool:
+    def record_summary(self, summary: DomainSummary) -> bool:
         """Take in another domain's news; tell whether it is newer than known.
 
-        Whoever has it packed asks `wants_news` first, which spares decoding it.
+        Whoever has it packed asks `wants_summary` first, which spares decoding it.
         """
-        order = news.incarnation, news.number
-        if not self.wants_news(news.failure_domain, news.speaker, order):
+        version = summary.incarnation, summary.number
+        if not self.wants_summary(summary.failure_domain, summary.speaker, version):
             return False
-        known = self.far.get(news.failure_domain)
-        orders = known.order if known else {}
-        orders[news.speaker] = order
-        told = known.told if known else ToldDemand()
-        domain = FarDomain(news, trio.current_time(), orders, told)
-        told.note(domain.said_at, _demand_of(news.usage))
-        self.far[news.failure_domain] = domain
-        for summary in news.vms:
-            if summary.vm != self.own.vm:
-                beat = _beat_of(summary, news)
-                self._take(beat, summary.ip, summary.age_s, FAR_ALIVE_S)
+        known = self.far.get(summary.failure_domain)
+        latest_by_speaker = known.latest_by_speaker if known else {}
+        latest_by_speaker[summary.speaker] = version
+        demand_history = known.demand_history if known else DemandHistory()
+        domain = FarDomain(
+            summary, trio.current_time(), latest_by_speaker, demand_history
+        )
+        demand_history.note(
+            domain.oldest_heartbeat_at, _demand_by_workspace(summary.usage)
+        )
+        self.far[summary.failure_domain] = domain
+        for vm_summary in summary.vms:
+            if vm_summary.vm != self.own.vm:
+                beat = _heartbeat_from(vm_summary, summary)
+                self._record(
+                    beat, vm_summary.ip, vm_summary.age_s, FAR_HEARTBEAT_TIMEOUT_S
+                )
         return True
 
-    def wants_news(
-        self, failure_domain: str, speaker: str, order: tuple[int, int]
+    def wants_summary(
+        self, failure_domain: str, speaker: str, version: tuple[int, int]
     ) -> bool:
         """Tell whether a domain's news is newer than what is known."""
         if failure_domain == self.own.failure_domain:
@@ -229,7 +237,7 @@
         if known.is_recent and known.summary.speaker != speaker:
             # Its other speaker has just told the same; one in time is enough.
             return False
-        return order > known.order.get(speaker, (-1, -1))
+        return version > known.latest_by_speaker.get(speaker, (-1, -1))
 
     def forget_gone(self) -> list[str]:
         """Forget VMs that have long been silent; return their names."""
@@ -238,7 +246,7 @@
             del self.table[vm]
         now = trio.current_time()
         for name, domain in list(self.far.items()):
-            if now - domain.heard_at > FORGET_S:
+            if now - domain.heard_at > FORGET_AFTER_S:
                 del self.far[name]
         return gone
 
@@ -265,7 +273,7 @@
     def ready_vms(self) -> list[str]:
         """Return their names, as they were a moment ago: asked for often."""
         at, names = self._ready_vms
-        if trio.current_time() - at > READY_KEPT_S:
+        if trio.current_time() - at > READY_CACHE_S:
             names = [beat.vm for beat in self.ready()]
             self._ready_vms = trio.current_time(), names
         return names
@@ -293,19 +301,19 @@
 
     # Their use of quotas.
 
-    def use_view(self, moment: float) -> "UseView":
+    def usage_view(self, moment: float) -> "UsageView":
         """Return what all other VMs use of quotas now, and asked for at a moment."""
         near = [m for m in self.near() if m.heartbeat is not None]
-        return UseView(near, list(self.far.values()), moment)
+        return UsageView(near, list(self.far.values()), moment)
 
     def oldest_heard_at(self) -> float:
         """Return when the oldest news that `use_of` counts was said."""
         heard = [m.heard_at for m in self.near() if m.is_alive]
-        heard += [d.said_at for d in self.far.values() if d.is_fresh]
+        heard += [d.oldest_heartbeat_at for d in self.far.values() if d.is_fresh]
         return min(heard, default=trio.current_time())
 
 
-class UseView:
+class UsageView:
     """What other VMs use of quotas, as it was heard up to a moment.
 
     Parameters
@@ -318,32 +326,37 @@
     """
 
     def __init__(self, near: list[Member], far: list[FarDomain], moment: float):
-        self.near = UseSums(near)
+        self.near = UsageSums(near)
         self.far = [(domain.is_fresh, domain.summary.usage) for domain in far]
         alive = [m for m in near if m.is_alive]
-        self.near_then = {m.heartbeat.vm: m.told.at(moment) for m in alive}
-        far_then = [d.told.at(moment) for d in far if d.is_fresh]
-        self.then: list[DemandThen] = [*self.near_then.values(), *far_then]
+        self.near_past_demand = {
+            m.heartbeat.vm: m.demand_history.at(moment) for m in alive
+        }
+        far_past_demand = [d.demand_history.at(moment) for d in far if d.is_fresh]
+        self.past_demands: list[PastDemand] = [
+            *self.near_past_demand.values(),
+            *far_past_demand,
+        ]
 
-    def of(self, workspace: str) -> UseTotals:
+    def of(self, workspace: str) -> UsageTotals:
         """Return the totals for one workspace."""
         near = self.near.of(workspace)
-        demand, share, kept = near.demand, near.share, near.kept
-        for is_fresh, uses in self.far:
-            usage = uses.get(workspace)
+        demand, share, silent_share = near.demand, near.share, near.silent_share
+        for is_fresh, usages in self.far:
+            usage = usages.get(workspace)
             if usage is None:
                 continue
-            kept += usage.kept
+            silent_share += usage.silent_share
             if is_fresh:
                 demand += usage.demand
                 share += usage.share
             else:
-                kept += usage.share
-        demand_then = sum(then.of(workspace) for then in self.then)
-        return UseTotals(demand, demand_then, share, kept)
+                silent_share += usage.share
+        past_demand = sum(past.of(workspace) for past in self.past_demands)
+        return UsageTotals(demand, past_demand, share, silent_share)
 
 
-class UseSums:
+class UsageSums:
     """Sums over VMs of one failure domain, by workspace.
 
     Parameters
@@ -353,48 +366,50 @@
     """
 
     def __init__(self, members: list[Member]):
-        self.uses = [(m.ip, m.is_alive, m.heartbeat.usage) for m in members]
+        self.usages = [(m.ip, m.is_alive, m.heartbeat.usage) for m in members]
         self.alive = [m.heartbeat for m in members if m.is_alive]
 
     def workspaces(self) -> set[str]:
         """Return the workspaces whose quotas VMs that are alive use."""
         return {name for beat in self.alive for name in beat.usage}
 
-    def of(self, workspace: str) -> UseSummary:
+    def of(self, workspace: str) -> UsageSummary:
         """Return what they use of a workspace's quota."""
-        demand = share = kept = level = 0.0
+        demand = share = silent_share = level = 0.0
         lender = ""
-        for ip, is_alive, uses in self.uses:
-            usage = uses.get(workspace)
+        for ip, is_alive, usages in self.usages:
+            usage = usages.get(workspace)
             if usage is None:
                 continue
             if not is_alive:
-                kept += usage.share
+                silent_share += usage.share
                 continue
             demand += usage.demand
             share += usage.share
             if usage.level > level:
                 level, lender = usage.level, ip
-        return UseSummary(demand, share, kept, level, lender)
+        return UsageSummary(demand, share, silent_share, level, lender)
 
 
-def _beat_of(summary: VmSummary, news: DomainNews) -> Heartbeat:
+def _heartbeat_from(vm: VmSummary, summary: DomainSummary) -> Heartbeat:
     return Heartbeat(
-        vm=summary.vm,
-        failure_domain=news.failure_domain,
-        region=news.region,
-        incarnation=summary.incarnation,
-        number=summary.number,
-        state=summary.state,
-        caller_address=summary.caller_address,
+        vm=vm.vm,
+        failure_domain=summary.failure_domain,
+        region=summary.region,
+        incarnation=vm.incarnation,
+        number=vm.number,
+        state=vm.state,
+        caller_address=vm.caller_address,
         control_address="",
-        weight=summary.weight,
+        weight=vm.weight,
     )
 
 
-def _demand_of(usage: Mapping[str, Use | UseSummary]) -> dict[str, float]:
+def _demand_by_workspace(
+    usage: Mapping[str, QuotaUsage | UsageSummary],
+) -> dict[str, float]:
     return {name: one.demand for name, one in usage.items()}
 
 
-def _order(heartbeat: Heartbeat) -> tuple[int, int]:
+def _version(heartbeat: Heartbeat) -> tuple[int, int]:
     return heartbeat.incarnation, heartbeat.number
--- a/packages/gateway/plantainshed_gateway/peer_messages.py
+++ b/packages/gateway/plantainshed_gateway/peer_messages.py
@@ -7,9 +7,9 @@
 
 import trio
 
-from .datagrams import Message, Roster, TokenAsk, TokenLoan
+from .datagrams import MemberList, Message, TokenLoan, TokenRequest
 from .errors import StoreUnavailable
-from .heartbeats import Bundle, DomainNews, Heartbeat, VmState
+from .heartbeats import DomainSummary, Heartbeat, SummaryBundle, VmState
 from .loans import Loans
 from .logs import DecisionLog
 from .members import Members
@@ -20,9 +20,9 @@
 from .speakers import Speakers
 
 # Pause before a VM is told again which others there are.
-ROSTER_PAUSE_S = 2.0
+MEMBER_LIST_PAUSE_S = 2.0
 # Pause between answers to VMs that are heard for the first time.
-INTRODUCE_PAUSE_S = 0.1
+ANNOUNCE_PAUSE_S = 0.1
 
 
 class PeerMessageHandler:
@@ -62,60 +62,60 @@
         self.followers = followers
         self.log = log
         self.nursery: trio.Nursery | None = None
-        self._introduced_at = float("-inf")
-        self._roster_told_at: dict[str, float] = {}
+        self._announced_at = float("-inf")
+        self._member_list_sent_at: dict[str, float] = {}
         # Runs of VMs of this failure domain that were heard to leave.
         self._leaving_incarnations: dict[str, int] = {}
 
     async def handle(self, message: Message, ip: str):
         """Act on one message; `ip` is its sender's."""
-        if isinstance(message, TokenAsk):
-            await self.loans.on_ask(message, ip)
+        if isinstance(message, TokenRequest):
+            await self.loans.on_request(message, ip)
         elif isinstance(message, TokenLoan):
             self.loans.on_loan(message)
-        elif isinstance(message, Roster):
-            self._take_roster(message)
-        elif isinstance(message, DomainNews):
-            await self._on_news(message)
-        elif isinstance(message, Bundle):
-            self._take_bundle(message)
+        elif isinstance(message, MemberList):
+            self._on_member_list(message)
+        elif isinstance(message, DomainSummary):
+            await self._on_summary(message)
+        elif isinstance(message, SummaryBundle):
+            self._on_bundle(message)
         elif message.failure_domain != self.members.own.failure_domain:
             # Only a VM that knows nobody sends its heartbeat so far.
             self.members.note_listed(message.vm, ip, message.failure_domain)
-            await self._tell_roster(message, ip)
+            await self._send_member_list(message, ip)
         else:
-            await self._take_near(message, ip)
+            await self._on_near_heartbeat(message, ip)
 
-    async def _take_near(self, heartbeat: Heartbeat, ip: str):
+    async def _on_near_heartbeat(self, heartbeat: Heartbeat, ip: str):
         was_alive = self.members.is_alive(heartbeat.vm)
         if not self.members.record_heartbeat(heartbeat, ip):
             return
-        self._on_heartbeat(heartbeat)
-        await self._tell_roster(heartbeat, ip)
+        self._apply_heartbeat(heartbeat)
+        await self._send_member_list(heartbeat, ip)
         if not was_alive:
-            await self._introduce()
-        if self._begins_to_leave(heartbeat) and self.speakers.is_speaker:
+            await self._announce()
+        if self._starts_leaving(heartbeat) and self.speakers.is_speaker:
             await self.peers.send_now()
 
-    async def _introduce(self):
+    async def _announce(self):
         """Tell VMs that are heard for the first time, or again, about this one.
 
         After all were off each knows of no other, and until they do a workspace's
         tokens cannot move between them.
         """
         now = trio.current_time()
-        if now - self._introduced_at >= INTRODUCE_PAUSE_S:
-            self._introduced_at = now
+        if now - self._announced_at >= ANNOUNCE_PAUSE_S:
+            self._announced_at = now
             await self.peers.send_now()
 
-    def _begins_to_leave(self, heartbeat: Heartbeat) -> bool:
+    def _starts_leaving(self, heartbeat: Heartbeat) -> bool:
         known = self._leaving_incarnations.get(heartbeat.vm)
         if heartbeat.state is not VmState.LEAVING or known == heartbeat.incarnation:
             return False
         self._leaving_incarnations[heartbeat.vm] = heartbeat.incarnation
         return True
 
-    async def _tell_roster(self, heartbeat: Heartbeat, ip: str):
+    async def _send_member_list(self, heartbeat: Heartbeat, ip: str):
         """Tell a VM that knows fewer others than this one.
 
         While the store is away, one that starts knows only the seeds of its
@@ -123,61 +123,65 @@
         of quotas.
         """
         now = trio.current_time()
-        told_at = self._roster_told_at.get(heartbeat.vm, float("-inf"))
+        sent_at = self._member_list_sent_at.get(heartbeat.vm, float("-inf"))
         if (
             heartbeat.known_vm_count >= self.members.count
-            or now - told_at < ROSTER_PAUSE_S
+            or now - sent_at < MEMBER_LIST_PAUSE_S
         ):
             return
-        self._roster_told_at[heartbeat.vm] = now
+        self._member_list_sent_at[heartbeat.vm] = now
         table = self.members.table
         vms = {vm: (m.ip, m.failure_domain) for vm, m in table.items()}
         own = self.members.own
         vms[own.vm] = self.peers.ip, own.failure_domain
-        await self.peers.send(Roster(vms), ip)
+        await self.peers.send(MemberList(vms), ip)
 
-    def _take_roster(self, roster: Roster):
+    def _on_member_list(self, member_list: MemberList):
         self.members.is_listed = True
-        for vm, (ip, failure_domain) in roster.vms.items():
+        for vm, (ip, failure_domain) in member_list.vms.items():
             self.members.note_listed(vm, ip, failure_domain)
 
-    async def _on_news(self, news: DomainNews):
+    async def _on_summary(self, summary: DomainSummary):
         """Take in what another failure domain told, and pass it on in this one."""
-        known = self.members.far.get(news.failure_domain)
+        known = self.members.far.get(summary.failure_domain)
         was_fresh = known is not None and known.is_fresh
-        if self._take_news(news):
-            self.speakers.note_to_pass_on(news)
-            if self.speakers.is_urgent(news) or not was_fresh:
-                self.peers.pass_on()
+        if self._record_summary(summary):
+            self.speakers.queue_for_relay(summary)
+            if self.speakers.is_urgent(summary) or not was_fresh:
+                self.peers.relay_summaries()
             if not was_fresh:
-                await self._introduce()
+                await self._announce()
 
-    def _take_bundle(self, bundle: Bundle):
-        for packed in bundle.news:
-            told_by = packed.failure_domain, packed.speaker, packed.order
-            if not self.members.wants_news(*told_by):
+    def _on_bundle(self, bundle: SummaryBundle):
+        for packed in bundle.summaries:
+            version_key = packed.failure_domain, packed.speaker, packed.version
+            if not self.members.wants_summary(*version_key):
                 continue
             try:
-                self._take_news(packed.unpack())
+                self._record_summary(packed.unpack())
             except ValueError as error:
                 self.log.event("news not understood", problem=str(error))
 
-    def _take_news(self, news: DomainNews) -> bool:
-        if not self.members.take_news(news):
+    def _record_summary(self, summary: DomainSummary) -> bool:
+        if not self.members.record_summary(summary):
             return False
-        self.poison.take(news.deaths)
-        self._follow(news.newest_revisions, news.control_address, is_near=False)
+        self.poison.take(summary.deaths)
+        self._catch_up_followers(
+            summary.newest_revisions, summary.control_address, is_near=False
+        )
         return True
 
-    def _on_heartbeat(self, heartbeat: Heartbeat):
+    def _apply_heartbeat(self, heartbeat: Heartbeat):
         self.poison.take(heartbeat.deaths)
-        self._follow(
+        self._catch_up_followers(
             heartbeat.newest_revisions, heartbeat.control_address, is_near=True
         )
 
-    def _follow(self, newest_of: dict[str, int], control: str, is_near: bool):
+    def _catch_up_followers(
+        self, newest_revisions: dict[str, int], control: str, is_near: bool
+    ):
         """Fetch from another VM what it knows and this one does not."""
-        for name, newest in newest_of.items():
+        for name, newest in newest_revisions.items():
             follower = self.followers.get(name)
             if follower is not None and newest > follower.replica.revision:
                 self.nursery.start_soon(
--- a/packages/gateway/plantainshed_gateway/peers.py
+++ b/packages/gateway/plantainshed_gateway/peers.py
@@ -33,7 +33,7 @@
 MAX_DATAGRAM_BYTES = 60_000
 # Datagrams that are taken in before other tasks have their turn: to decode one
 # takes 0.2 to 0.4 ms with 80 workspaces.
-MOST_AT_ONCE = 16
+MAX_DATAGRAMS_PER_READ = 16
 STATE_PATH = "/state/"
 REVISION = re.compile(r"after=([0-9]{1,18})")
 # Time for a copy from a VM in another region, some 100 KB before compression.
@@ -116,13 +116,13 @@
         if to_far:
             receivers = self.speakers.receivers()
             if receivers:
-                self._send_all(self.speakers.make_news(), receivers)
-        self.pass_on()
+                self._send_all(self.speakers.make_summary(), receivers)
+        self.relay_summaries()
 
-    def pass_on(self):
+    def relay_summaries(self):
         """Tell the own failure domain what was heard of others."""
         ips = [member.ip for member in self.members.near()]
-        for bundle in self.speakers.bundles():
+        for bundle in self.speakers.take_bundles():
             self._send_all(bundle, ips)
 
     def _send_all(self, message: Message, ips: Iterable[str]):
@@ -145,7 +145,7 @@
         """Take in messages until cancelled."""
         while True:
             await trio.lowlevel.wait_readable(self.socket)
-            for data, ip in self._at_hand():
+            for data, ip in self._read_datagrams():
                 await self.handle_datagram(data, ip)
 
     async def handle_datagram(self, data: bytes, ip: str):
@@ -157,9 +157,9 @@
             return
         await self.on_message(message, ip)
 
-    def _at_hand(self) -> Iterator[tuple[bytes, str]]:
+    def _read_datagrams(self) -> Iterator[tuple[bytes, str]]:
         """Yield the datagrams that have arrived, and who sent each."""
-        for _ in range(MOST_AT_ONCE):
+        for _ in range(MAX_DATAGRAMS_PER_READ):
             try:
                 data, (ip, _) = self.socket.recvfrom(MAX_DATAGRAM_BYTES)
             except BlockingIOError:
--- a/packages/gateway/plantainshed_gateway/quota.py
+++ b/packages/gateway/plantainshed_gateway/quota.py
@@ -19,7 +19,8 @@
 that grows or falls at all VMs would seem to do so at some alone, and all together
 would take more.
 
-A share falls at once and grows only to what it was found to be for `GROWTH_S` and
+A share falls at once and grows only to what it was found to be for
+`SHARE_GROWTH_DELAY_S` and
 the way that news of far domains takes: VMs do not compute with the demand of one
 moment, so that some find a larger share due before others find a smaller one. While
 news is overdue a share stays as it is.
@@ -37,46 +38,47 @@
 
 from plantainshed_coordination.digests import unit_hash
 
-from .demand import DEMAND_S, Demand, ToldDemand
-from .heartbeats import Use
+from .demand import DEMAND_AVERAGING_S, Demand, DemandHistory
+from .heartbeats import QuotaUsage
 from .holders import Holders
-from .members import Members, UseTotals, UseView
+from .members import Members, UsageTotals, UsageView
 from .model import Workspace
 from .round_trips import RoundTrips
 from .settings import Bounds
 
 # Part of a quota that is divided evenly, whatever the demand is: a VM whose
 # callers begin to send gets this at once.
-EVEN_PART = 0.15
-# The same where a holder counts fewer requests of a quota in `DEMAND_S` than this,
+EVEN_FRACTION = 0.15
+# The same where a holder counts fewer requests of a quota in
+# `DEMAND_AVERAGING_S` than this,
 # too few to tell where the next ones come: they then mostly find a token, or one at
 # a near VM.
-EVEN_PART_OF_FEW = 0.5
-FEW_COUNTED = 4.0
+EVEN_FRACTION_LOW_TRAFFIC = 0.5
+LOW_TRAFFIC_REQUESTS = 4.0
 # Used part of the tolerance, as the most tokens at hand on all VMs together.
 # Small workspaces' requests come in clumps: with 6 requests a second over 12
 # VMs, a bucket of one token refused 3.9 % of requests within their quota.
-USED_TOLERANCE = 0.7
+USABLE_TOLERANCE = 0.7
 # Most that is left unused, as time at the rate: for shares that sum to more than
 # one, and what these let pass goes with the rate.
-UNUSED_S = 0.5
+MAX_RESERVE_S = 0.5
 # Part of the tolerance that VMs which have just started have at hand. Their runs
 # before may have used the whole a moment ago.
-FIRST_LEVEL = 1.0 - USED_TOLERANCE
+INITIAL_LEVEL_FRACTION = 1.0 - USABLE_TOLERANCE
 # VMs that this one reckons with before it knows how many there are.
-UNKNOWN_FLEET = 16
+ASSUMED_FLEET_SIZE = 16
 # Time for which a larger share must have been due: news of another domain is said
 # once a second, of heartbeats half a second old, and passed on with a heartbeat.
-GROWTH_S = 2.0
+SHARE_GROWTH_DELAY_S = 2.0
 # Takes of a bucket that are kept, to tell what a returned token would have filled.
-KEPT_TAKES = 256
+MAX_WITHDRAWALS = 256
 # Longest time that a refused caller is told to stay away.
-LONGEST_RETRY_AFTER_S = 2.0
-LEAST_RETRY_AFTER_S = 0.3
+MAX_RETRY_AFTER_S = 2.0
+MIN_RETRY_AFTER_S = 0.3
 
 
 @define
-class _Taken:
+class _Withdrawal:
     """A moment at which tokens were taken.
 
     Attributes
@@ -98,42 +100,44 @@
     ----------
     rate : float
         Requests a second of the whole quota, its burst spread over a window.
-    most : float
+    max_tokens : float
         Most tokens at hand on all VMs together.
-    unused : float
+    reserve : float
         Tokens of the tolerance beyond these.
     share : float
         Of this VM, from 0 to 1; 0 if it holds no part.
     level : float
         Tokens at hand here.
-    part : float
+    capacity_fraction : float
         Of the most tokens, that this VM may have at hand.
     fair_share : float
         The part that its own callers ask for, whoever holds it.
     demand : float
         Requests a second that all callers ask for.
-    due : deque of tuple
+    due_shares : deque of tuple
         When which shares were found to be due lately.
-    takes : deque of _Taken
+    withdrawals : deque of _Withdrawal
         The newest, in order.
-    lent : float
+    borrowed : float
         Tokens that other VMs lent since the shares were computed last.
     """
 
     rate: float
-    most: float
-    unused: float
+    max_tokens: float
+    reserve: float
     share: float
     level: float
-    part: float
+    capacity_fraction: float
     fair_share: float = 0.0
     demand: float = 0.0
-    due: deque[tuple[float, float]] = field(factory=deque)
-    takes: deque[_Taken] = field(factory=lambda: deque(maxlen=KEPT_TAKES))
-    lent: float = 0.0
-    filled_at: float = field(factory=trio.current_time)
-
-    def fill(self):
+    due_shares: deque[tuple[float, float]] = field(factory=deque)
+    withdrawals: deque[_Withdrawal] = field(
+        factory=lambda: deque(maxlen=MAX_WITHDRAWALS)
+    )
+    borrowed: float = 0.0
+    refilled_at: float = field(factory=trio.current_time)
+
+    def refill(self):
         """Bring the level up to now.
 
         What is above the capacity was filled when the part was larger. It goes as
@@ -141,17 +145,17 @@
         than the most; loans are left to the requests that asked for them.
         """
         now = trio.current_time()
-        filled = (now - self.filled_at) * self.rate
-        self.filled_at = now
+        filled = (now - self.refilled_at) * self.rate
+        self.refilled_at = now
         if self.level <= self.capacity:
             self.level = min(self.capacity, self.level + filled * self.share)
             return
-        least = min(self.level, self.capacity + self.lent)
+        least = min(self.level, self.capacity + self.borrowed)
         self.level = max(least, self.level - filled * (1.0 - self.share))
 
     def take(self, tokens: float):
         """Take tokens that are at hand."""
-        self.takes.append(_Taken(trio.current_time(), self.level))
+        self.withdrawals.append(_Withdrawal(trio.current_time(), self.level))
         self.level -= tokens
 
     def return_token(self, taken_at: float):
@@ -160,41 +164,43 @@
         Had it not been taken, the bucket would at no time have held more than its
         capacity; what it would have held then may not be used now.
         """
-        self.fill()
-        later = [taken for taken in self.takes if taken.at > taken_at]
-        if len(later) == KEPT_TAKES:
+        self.refill()
+        later = [
+            withdrawal for withdrawal in self.withdrawals if withdrawal.at > taken_at
+        ]
+        if len(later) == MAX_WITHDRAWALS:
             return
-        highest = max([self.level, *(taken.level for taken in later)])
+        highest = max([self.level, *(withdrawal.level for withdrawal in later)])
         returned = min(1.0, max(0.0, self.capacity - highest))
-        for taken in later:
-            taken.level += returned
+        for withdrawal in later:
+            withdrawal.level += returned
         self.level += returned
 
-    def set_due(self, share: float, holder_count: int, growth_s: float):
+    def update_share(self, share: float, holder_count: int, growth_s: float):
         """Take a share that is due now, or little more than was due lately.
 
         What all holders may take beyond the least that was due is, in `growth_s`,
         the unused part of the tolerance.
         """
         now = trio.current_time()
-        unused = self.unused / holder_count
-        self.due.append((now, share))
-        while self.due[0][0] < now - growth_s:
-            self.due.popleft()
-        least = min(due for _, due in self.due)
-        least += unused / max(0.01, self.rate * growth_s)
+        reserve = self.reserve / holder_count
+        self.due_shares.append((now, share))
+        while self.due_shares[0][0] < now - growth_s:
+            self.due_shares.popleft()
+        least = min(due for _, due in self.due_shares)
+        least += reserve / max(0.01, self.rate * growth_s)
         self.share = min(share, max(self.share, least))
 
-    def set_part(self, even: float, even_level: float):
+    def update_capacity(self, even: float, even_level: float):
         """Take a part of the most tokens: so much of it evenly, the rest by share."""
-        self.part = even_level * even + (1.0 - even_level) * self.share
+        self.capacity_fraction = even_level * even + (1.0 - even_level) * self.share
 
     @property
     def capacity(self) -> float:
         """Most tokens at hand here."""
         if self.share <= 0:
             return 0.0
-        return max(1.0, self.most * self.part)
+        return max(1.0, self.max_tokens * self.capacity_fraction)
 
 
 class Quotas:
@@ -206,7 +212,7 @@
         self.round_trips = round_trips
         self.holders = Holders(members)
         self.workspaces: dict[str, Workspace] = {}
-        self._announced = ToldDemand()
+        self._announced = DemandHistory()
         self.demands: dict[str, Demand] = {}
         self.buckets: dict[str, Bucket] = {}
 
@@ -220,28 +226,28 @@
     def take_token(self, workspace: Workspace) -> float | None:
         """Take a token; return None, or the seconds until there is one."""
         bucket = self._bucket(workspace)
-        bucket.fill()
+        bucket.refill()
         if bucket.level >= 1.0:
             bucket.take(1.0)
             return None
         share = max(bucket.share, bucket.fair_share)
         missing_s = (1.0 - bucket.level) / max(bucket.rate * share, 0.01)
-        return min(LONGEST_RETRY_AFTER_S, max(LEAST_RETRY_AFTER_S, missing_s))
+        return min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, missing_s))
 
     def add(self, name: str, tokens: float):
         """Add borrowed tokens; they may exceed what this VM holds itself."""
         bucket = self.buckets.get(name)
         if bucket is not None:
-            bucket.fill()
+            bucket.refill()
             bucket.level += tokens
-            bucket.lent += tokens
+            bucket.borrowed += tokens
 
     def has_token(self, name: str) -> bool:
         """Tell whether the next request finds a token."""
         bucket = self.buckets.get(name)
         if bucket is None:
             return False
-        bucket.fill()
+        bucket.refill()
         return bucket.level >= 1.0
 
     def is_exhausted(self, name: str) -> bool:
@@ -252,7 +258,7 @@
         bucket = self.buckets.get(name)
         return bucket is not None and bucket.demand > bucket.rate
 
-    def missing_ahead(self, name: str, seconds: float) -> float:
+    def prefetch_amount(self, name: str, seconds: float) -> float:
         """Return how many tokens to ask for, so that some are left after a time.
 
         Never more than this VM may have at hand by its share: all VMs together
@@ -261,20 +267,20 @@
         bucket, demand = self.buckets.get(name), self.demands.get(name)
         if bucket is None or demand is None:
             return 0.0
-        bucket.fill()
+        bucket.refill()
         demand.decay()
         if bucket.level >= 1.0 + demand.rate * seconds:
             return 0.0
         return float(int(bucket.capacity - bucket.level))
 
-    def take_for_loan(self, name: str, kept: float, most: float) -> float:
+    def take_for_loan(self, name: str, reserved: float, max_tokens: float) -> float:
         """Take tokens that this VM can spare; return how many."""
         workspace = self.workspaces.get(name)
         if workspace is None:
             return 0.0
         bucket = self._bucket(workspace)
-        bucket.fill()
-        tokens = float(int(min(most, max(0.0, bucket.level - kept))))
+        bucket.refill()
+        tokens = float(int(min(max_tokens, max(0.0, bucket.level - reserved))))
         if tokens:
             bucket.take(tokens)
         return tokens
@@ -286,98 +292,106 @@
             bucket.return_token(taken_at)
 
     def _bucket(self, workspace: Workspace) -> Bucket:
-        rate, most, unused = self._size_of(workspace)
+        rate, max_tokens, reserve = self._limits_of(workspace)
         bucket = self.buckets.get(workspace.name)
         if bucket is None:
             share, level = 0.0, 0.0
-            if self.holders.is_own(workspace.name):
+            if self.holders.is_holder(workspace.name):
                 share = 1.0 / self._vm_count
-                level = self._first_level(workspace.name, (most + unused) * share)
-            bucket = Bucket(rate, most, unused, share, level, share)
+                level = self._initial_level(
+                    workspace.name, (max_tokens + reserve) * share
+                )
+            bucket = Bucket(rate, max_tokens, reserve, share, level, share)
             # Others' first news tells no demand yet, and seems to leave all to it.
-            bucket.due.append((trio.current_time(), share))
+            bucket.due_shares.append((trio.current_time(), share))
             self.buckets[workspace.name] = bucket
-        bucket.rate, bucket.most, bucket.unused = rate, most, unused
+        bucket.rate, bucket.max_tokens, bucket.reserve = rate, max_tokens, reserve
         return bucket
 
-    def _first_level(self, name: str, tolerance: float) -> float:
+    def _initial_level(self, name: str, tolerance: float) -> float:
         """Return the tokens of a VM that has just started.
 
         The run before it may have used all that it had a moment ago. Each VM begins
         with another fraction of a token, so that all together fill whole tokens
         evenly and not each its first at the same time.
         """
-        return tolerance * FIRST_LEVEL + unit_hash(self.holders.own, name)
+        return tolerance * INITIAL_LEVEL_FRACTION + unit_hash(self.holders.own, name)
 
     @property
     def _vm_count(self) -> int:
         count = self.members.count
-        return count if self.members.is_listed else max(count, UNKNOWN_FLEET)
+        return count if self.members.is_listed else max(count, ASSUMED_FLEET_SIZE)
 
-    def _size_of(self, workspace: Workspace) -> tuple[float, float, float]:
+    def _limits_of(self, workspace: Workspace) -> tuple[float, float, float]:
         """Return a workspace's rate, the most tokens at hand and those unused."""
         window_s = self.bounds.quota_window_s
         in_window = workspace.rate_per_s * window_s + workspace.burst
         tolerance = in_window * self.bounds.quota_over + self.bounds.quota_slack
         rate = in_window / window_s
-        unused = min(tolerance * (1.0 - USED_TOLERANCE), rate * UNUSED_S)
-        return rate, tolerance - unused, unused
+        reserve = min(tolerance * (1.0 - USABLE_TOLERANCE), rate * MAX_RESERVE_S)
+        return rate, tolerance - reserve, reserve
 
     def recompute_shares(self):
         """Compute this VM's share of each quota anew."""
         self.holders.refresh()
         moment = self.members.oldest_heard_at()
-        view = self.members.use_view(moment)
+        view = self.members.usage_view(moment)
         for name, workspace in self.workspaces.items():
             # It fills before the first request comes, here or at a VM that asks.
-            if workspace.rate_per_s > 0 and self.holders.is_own(name):
+            if workspace.rate_per_s > 0 and self.holders.is_holder(name):
                 self._bucket(workspace)
         own = self._announced.at(moment)
-        is_own_known = self._announced.reaches(moment)
-        holder_count = self.holders.fleet_count()
-        in_use = self._part_of_heard()
+        is_own_known = self._announced.covers(moment)
+        holder_count = self.holders.fleet_holder_count()
+        heard_fraction = self._heard_fraction()
         is_some_silent = self.members.heard_count() > len(self.members.alive())
-        growth_s = GROWTH_S + self.round_trips.longest_s() / 2
+        growth_s = SHARE_GROWTH_DELAY_S + self.round_trips.longest_s() / 2
         # While news is overdue somebody may be cut off, or this VM is: the others
         # would not know what it takes now, nor leave it to it.
         is_overdue = moment < trio.current_time() - growth_s
         for name, bucket in self.buckets.items():
-            bucket.fill()
-            bucket.lent = 0.0
+            bucket.refill()
+            bucket.borrowed = 0.0
             totals = view.of(name)
             own_demand = own.of(name)
-            total = own_demand + totals.demand_then
+            total_demand = own_demand + totals.past_demand
             bucket.demand = own_demand + totals.demand
-            bucket.fair_share = own_demand / total if total > 0 else 0.0
-            if not self.holders.is_own(name):
+            bucket.fair_share = own_demand / total_demand if total_demand > 0 else 0.0
+            if not self.holders.is_holder(name):
                 bucket.share = bucket.level = 0.0
                 continue
-            asked = own_demand + self._demand_of_askers(name, view)
+            local_demand = own_demand + self._demand_of_non_holders(name, view)
             if not is_own_known:
                 # What a VM that has just started counted is of another moment.
-                asked = total = 0.0
-            counted = bucket.rate * DEMAND_S / holder_count
-            few = FEW_COUNTED / max(counted, FEW_COUNTED)
-            even_part = max(EVEN_PART, EVEN_PART_OF_FEW * few)
-            used_here = in_use
+                local_demand = total_demand = 0.0
+            counted = bucket.rate * DEMAND_AVERAGING_S / holder_count
+            low_traffic = LOW_TRAFFIC_REQUESTS / max(counted, LOW_TRAFFIC_REQUESTS)
+            even_part = max(EVEN_FRACTION, EVEN_FRACTION_LOW_TRAFFIC * low_traffic)
+            divisible = heard_fraction
             if is_some_silent:
-                used_here *= _part_in_use(bucket.share, totals)
-            part = _part(asked, total, holder_count, even_part) * used_here
+                divisible *= _divisible_share(bucket.share, totals)
+            target_share = (
+                _target_share(local_demand, total_demand, holder_count, even_part)
+                * divisible
+            )
             if is_overdue:
-                part = bucket.share
-            bucket.set_due(part, holder_count, growth_s)
-            bucket.set_part(used_here / holder_count, max(EVEN_PART, few))
+                target_share = bucket.share
+            bucket.update_share(target_share, holder_count, growth_s)
+            bucket.update_capacity(
+                divisible / holder_count, max(EVEN_FRACTION, low_traffic)
+            )
 
-    def _demand_of_askers(self, name: str, view: UseView) -> float:
+    def _demand_of_non_holders(self, name: str, view: UsageView) -> float:
         """Return what VMs ask for that hold no part and come to this one."""
         holders = self.holders.of(name)
         return sum(
-            then.of(name)
-            for vm, then in view.near_then.items()
-            if vm not in holders and self.holders.asked_by(vm, name) == self.holders.own
+            past.of(name)
+            for vm, past in view.near_past_demand.items()
+            if vm not in holders
+            and self.holders.holder_for(vm, name) == self.holders.own
         )
 
-    def _part_of_heard(self) -> float:
+    def _heard_fraction(self) -> float:
         """Return what VMs that were heard may divide among them.
 
         When all VMs start at once, each hears the others one by one. An even
@@ -385,10 +399,10 @@
         """
         heard = self.members.heard_count()
         if not self.members.is_listed:
-            return min(1.0, heard / UNKNOWN_FLEET)
+            return min(1.0, heard / ASSUMED_FLEET_SIZE)
         return heard / (heard + self.members.not_heard_yet())
 
-    def usage(self) -> dict[str, Use]:
+    def usage(self) -> dict[str, QuotaUsage]:
         """Return what this VM tells others now."""
         for demand in self.demands.values():
             demand.decay()
@@ -397,7 +411,7 @@
         # What is neither asked for nor held here need not be told: with 80 VMs
         # and 80 workspaces that is more than half.
         return {
-            name: Use(
+            name: QuotaUsage(
                 rates.get(name, 0.0), round(bucket.share, 4), round(bucket.level, 1)
             )
             for name, bucket in self.buckets.items()
@@ -405,19 +419,21 @@
         }
 
 
-def _part(demand: float, total: float, holder_count: int, even_part: float) -> float:
+def _target_share(
+    demand: float, total_demand: float, holder_count: int, even_part: float
+) -> float:
     """Return a holder's part of what all that are alive may use.
 
     Demand of less than a request at each holder counts as evenly spread for the
     rest: the first few after a start don't tell where the next ones come.
     """
     even = 1.0 / holder_count
-    counted = max(total, holder_count / DEMAND_S)
-    by_demand = (demand + (counted - total) * even) / counted
+    counted = max(total_demand, holder_count / DEMAND_AVERAGING_S)
+    by_demand = (demand + (counted - total_demand) * even) / counted
     return even_part * even + (1.0 - even_part) * by_demand
 
 
-def _part_in_use(own_share: float, totals: UseTotals) -> float:
+def _divisible_share(own_share: float, totals: UsageTotals) -> float:
     """Return what VMs that are alive divide while others are silent.
 
     What silent VMs hold stays theirs. The others divide what they hold
@@ -425,4 +441,4 @@
     if each VM of a fleet that hears nobody took the missing part, the fleet
     would use it as many times as it has VMs.
     """
-    return max(0.0, min(own_share + totals.share, 1.0 - totals.kept))
+    return max(0.0, min(own_share + totals.share, 1.0 - totals.silent_share))
--- a/packages/gateway/plantainshed_gateway/speakers.py
+++ b/packages/gateway/plantainshed_gateway/speakers.py
@@ -18,25 +18,25 @@
 from plantainshed_coordination.digests import weighted_score
 
 from .heartbeats import (
-    Bundle,
-    DomainNews,
+    DomainSummary,
     Heartbeat,
-    UseSummary,
+    SummaryBundle,
+    UsageSummary,
     VmState,
     VmSummary,
 )
-from .members import Member, Members, UseSums
+from .members import Member, Members, UsageSums
 
 # VMs of a failure domain that speak for it.
-SPEAKERS = 2
+SPEAKERS_PER_DOMAIN = 2
 # News in one datagram that is passed on. 8 domains of 50 VMs and 80 workspaces
 # are some 50 KB, 15 KB compressed, of the 60 KB that a datagram may have.
-BUNDLED = 8
+SUMMARIES_PER_BUNDLE = 8
 
 
 @define
-class _Heard:
-    news: DomainNews
+class _QueuedSummary:
+    summary: DomainSummary
     heard_at: float
 
 
@@ -52,7 +52,7 @@
         self.members = members
         self._numbers = itertools.count(1)
         self._turn = 0
-        self._to_pass_on: dict[str, _Heard] = {}
+        self._relay_queue: dict[str, _QueuedSummary] = {}
         self._leaving: dict[str, set[str]] = {}
 
     def names(self) -> list[str]:
@@ -60,7 +60,7 @@
         own = self.members.own
         alive = [m.heartbeat for m in self.members.near() if _is_candidate(m)]
         candidates = [own, *alive] if own.state is not VmState.LEAVING else alive
-        return _ranked(own.failure_domain, candidates)[:SPEAKERS]
+        return _ranked(own.failure_domain, candidates)[:SPEAKERS_PER_DOMAIN]
 
     @property
     def is_speaker(self) -> bool:
@@ -113,7 +113,7 @@
         name = order[min(rank, len(order) - 1)]
         return self.members.table[name].ip
 
-    def make_news(self) -> DomainNews:
+    def make_summary(self) -> DomainSummary:
         """Return this VM's failure domain's news."""
         own = self.members.own
         near = self.members.near()
@@ -123,8 +123,8 @@
         known = [itself, *(m for m in near if m.heartbeat is not None)]
         ages = [now - member.heard_at for member in known if member.is_alive]
         names = {name for member in known for name in member.heartbeat.usage}
-        sums = UseSums(known)
-        return DomainNews(
+        sums = UsageSums(known)
+        return DomainSummary(
             failure_domain=own.failure_domain,
             region=own.region,
             speaker=own.vm,
@@ -132,34 +132,39 @@
             number=next(self._numbers),
             control_address=own.control_address,
             age_s=round(max(ages), 2),
-            vms=tuple(_summary(member, now) for member in known),
+            vms=tuple(_vm_summary(member, now) for member in known),
             newest_revisions=own.newest_revisions,
             usage={name: _rounded(sums.of(name)) for name in names},
             deaths=own.deaths,
         )
 
-    def note_to_pass_on(self, news: DomainNews):
+    def queue_for_relay(self, summary: DomainSummary):
         """Keep another domain's news until it is passed on inside this one."""
-        self._to_pass_on[news.failure_domain] = _Heard(news, trio.current_time())
+        self._relay_queue[summary.failure_domain] = _QueuedSummary(
+            summary, trio.current_time()
+        )
 
-    def is_urgent(self, news: DomainNews) -> bool:
+    def is_urgent(self, summary: DomainSummary) -> bool:
         """Tell whether news names a VM that has begun to leave.
 
         Look-ups that go on naming it send callers to a VM about to end.
         """
-        leaving = {vm.vm for vm in news.vms if vm.state is VmState.LEAVING}
-        before = self._leaving.get(news.failure_domain, set())
-        self._leaving[news.failure_domain] = leaving
+        leaving = {vm.vm for vm in summary.vms if vm.state is VmState.LEAVING}
+        before = self._leaving.get(summary.failure_domain, set())
+        self._leaving[summary.failure_domain] = leaving
         return bool(leaving - before)
 
-    def bundles(self) -> list[Bundle]:
+    def take_bundles(self) -> list[SummaryBundle]:
         """Return what is to be passed on now; it is not returned again."""
         now = trio.current_time()
-        news = [_aged(h.news, now - h.heard_at) for h in self._to_pass_on.values()]
-        self._to_pass_on.clear()
+        summaries = [
+            _with_age_added(h.summary, now - h.heard_at)
+            for h in self._relay_queue.values()
+        ]
+        self._relay_queue.clear()
         return [
-            Bundle(tuple(news[first : first + BUNDLED]))
-            for first in range(0, len(news), BUNDLED)
+            SummaryBundle(tuple(summaries[first : first + SUMMARIES_PER_BUNDLE]))
+            for first in range(0, len(summaries), SUMMARIES_PER_BUNDLE)
         ]
 
 
@@ -175,7 +180,7 @@
     return [vm for _, vm in sorted(scored, reverse=True)]
 
 
-def _summary(member: Member, now: float) -> VmSummary:
+def _vm_summary(member: Member, now: float) -> VmSummary:
     beat = member.heartbeat
     return VmSummary(
         vm=beat.vm,
@@ -189,22 +194,22 @@
     )
 
 
-def _rounded(usage: UseSummary) -> UseSummary:
+def _rounded(usage: UsageSummary) -> UsageSummary:
     return evolve(
         usage,
         demand=round(usage.demand, 2),
         share=round(usage.share, 4),
-        kept=round(usage.kept, 4),
+        silent_share=round(usage.silent_share, 4),
         level=round(usage.level, 1),
     )
 
 
-def _aged(news: DomainNews, seconds: float) -> DomainNews:
+def _with_age_added(summary: DomainSummary, seconds: float) -> DomainSummary:
     """Return news as it is to be told so much later."""
     if seconds < 0.01:
-        return news
-    vms = tuple(evolve(vm, age_s=round(vm.age_s + seconds, 2)) for vm in news.vms)
-    return evolve(news, age_s=round(news.age_s + seconds, 2), vms=vms)
+        return summary
+    vms = tuple(evolve(vm, age_s=round(vm.age_s + seconds, 2)) for vm in summary.vms)
+    return evolve(summary, age_s=round(summary.age_s + seconds, 2), vms=vms)
 
 
 def _ip_of(beat: Heartbeat) -> str:
--- a/tests/gateway/fleet_support.py
+++ b/tests/gateway/fleet_support.py
@@ -3,7 +3,7 @@
 from collections import Counter
 
 from plantainshed_gateway.datagrams import decode, encode
-from plantainshed_gateway.heartbeats import Bundle, DomainNews, VmState
+from plantainshed_gateway.heartbeats import DomainSummary, SummaryBundle, VmState
 from plantainshed_gateway.members import Members
 from plantainshed_gateway.quota import Quotas
 from plantainshed_gateway.speakers import Speakers
@@ -11,7 +11,7 @@
 from .gateway_support import BOUNDS, make_heartbeat, make_round_trips
 
 
-class NewsVm:
+class GossipVm:
     """One VM's members, quotas and part in spreading news."""
 
     def __init__(self, name: str, ip: str, domain: str, incarnation=1, weight=100.0):
@@ -40,7 +40,7 @@
         )
 
 
-class NewsFleet:
+class GossipFleet:
     """All VMs, and what passes between them.
 
     Parameters
@@ -50,7 +50,7 @@
     """
 
     def __init__(self, domains: dict[str, int], weights=(100.0,)):
-        self.vms: dict[str, NewsVm] = {}
+        self.vms: dict[str, GossipVm] = {}
         self.sent = Counter()
         self.sent_bytes = Counter()
         self.far_bytes = 0
@@ -64,7 +64,7 @@
                 ip = f"10.{number}.0.{index + 1}"
                 weight = weights[index % len(weights)]
                 name = f"{domain}-{index}"
-                self.vms[ip] = NewsVm(name, ip, domain, weight=weight)
+                self.vms[ip] = GossipVm(name, ip, domain, weight=weight)
         for vm in self.vms.values():
             vm.members.is_listed = True
             for other in self.vms.values():
@@ -83,17 +83,17 @@
         for vm in list(self.vms.values()):
             if self.ticks % 2 == 0:
                 receivers = vm.speakers.receivers()
-                news = vm.speakers.make_news() if receivers else None
+                summary = vm.speakers.make_summary() if receivers else None
                 for ip in receivers:
-                    self.send(vm, ip, news)
+                    self.send(vm, ip, summary)
         for vm in list(self.vms.values()):
-            for bundle in vm.speakers.bundles():
+            for bundle in vm.speakers.take_bundles():
                 for member in vm.members.near():
                     self.send(vm, member.ip, bundle)
         for vm in self.vms.values():
             vm.quotas.recompute_shares()
 
-    def send(self, sender: NewsVm, ip: str, message):
+    def send(self, sender: GossipVm, ip: str, message):
         data = encode(message)
         self.sent[sender.name] += 1
         self.sent_bytes[sender.name] += len(data)
@@ -105,19 +105,19 @@
             return
         self.deliver(sender, ip, message)
 
-    def deliver(self, sender: NewsVm, ip: str, message):
+    def deliver(self, sender: GossipVm, ip: str, message):
         """Hand a message to its receiver."""
         receiver, data = self.vms[ip], encode(message)
         if sender.domain.partition("-")[0] != receiver.domain.partition("-")[0]:
             self.far_bytes += len(data)
         message = decode(data)
-        if isinstance(message, DomainNews):
-            if receiver.members.take_news(message):
-                receiver.speakers.note_to_pass_on(message)
-        elif isinstance(message, Bundle):
-            for packed in message.news:
-                told_by = packed.failure_domain, packed.speaker, packed.order
-                if receiver.members.wants_news(*told_by):
-                    receiver.members.take_news(packed.unpack())
+        if isinstance(message, DomainSummary):
+            if receiver.members.record_summary(message):
+                receiver.speakers.queue_for_relay(message)
+        elif isinstance(message, SummaryBundle):
+            for packed in message.summaries:
+                version_key = packed.failure_domain, packed.speaker, packed.version
+                if receiver.members.wants_summary(*version_key):
+                    receiver.members.record_summary(packed.unpack())
         else:
             receiver.members.record_heartbeat(message, sender.ip)
--- a/tests/gateway/linked_fleet.py
+++ b/tests/gateway/linked_fleet.py
@@ -204,7 +204,7 @@
         buckets = [vm.quotas.buckets.get(self.workspace.name) for vm in self.all()]
         buckets = [bucket for bucket in buckets if bucket is not None]
         for bucket in buckets:
-            bucket.fill()
+            bucket.refill()
         return sum(bucket.level for bucket in buckets)
 
     def shares(self) -> float:
--- a/tests/gateway/test_far_loans.py
+++ b/tests/gateway/test_far_loans.py
@@ -3,10 +3,10 @@
 
 import trio
 
-from plantainshed_gateway.datagrams import TokenAsk, TokenLoan
+from plantainshed_gateway.datagrams import TokenLoan, TokenRequest
 from plantainshed_gateway.loans import Loans
 from plantainshed_gateway.model import Workspace
-from tests.gateway.fleet_support import NewsFleet
+from tests.gateway.fleet_support import GossipFleet
 from tests.gateway.gateway_support import BOUNDS
 from tests.support import on_mock_clock
 
@@ -23,11 +23,11 @@
         self.one_way_s = one_way_s
         self.nursery = nursery
         self.workspace = workspace
-        self.news = NewsFleet(DOMAINS)
-        self.vms = list(self.news.vms.values())
+        self.gossip = GossipFleet(DOMAINS)
+        self.vms = list(self.gossip.vms.values())
         self.loans = {}
         self.more_s = lambda message: 0.0
-        for ip, vm in self.news.vms.items():
+        for ip, vm in self.gossip.vms.items():
             vm.quotas.workspaces = {workspace.name: workspace}
             self.loans[ip] = Loans(
                 vm.quotas, vm.members, self.sender(ip), vm.quotas.round_trips
@@ -46,13 +46,13 @@
     async def deliver(self, message, own_ip, ip):
         is_far = self.region_of(own_ip) != self.region_of(ip)
         await trio.sleep((self.one_way_s if is_far else 0.0003) + self.more_s(message))
-        if isinstance(message, TokenAsk):
-            await self.loans[ip].on_ask(message, own_ip)
+        if isinstance(message, TokenRequest):
+            await self.loans[ip].on_request(message, own_ip)
         elif isinstance(message, TokenLoan):
             self.loans[ip].on_loan(message)
 
     def region_of(self, ip: str) -> str:
-        return self.news.vms[ip].domain.partition("-")[0]
+        return self.gossip.vms[ip].domain.partition("-")[0]
 
     async def request(self, vm):
         """Admit one request as the gateway does."""
@@ -74,7 +74,7 @@
         rng = random.Random(seed)
         for step in range(int(seconds / STEP_S)):
             if step % 50 == 0:
-                self.news.tick()
+                self.gossip.tick()
             if rng.random() < rate * STEP_S:
                 self.nursery.start_soon(self.request, rng.choice(self.vms))
             await trio.sleep(STEP_S)
@@ -178,7 +178,7 @@
 
             def count_loan(loan):
                 nonlocal got
-                bucket.fill()
+                bucket.refill()
                 before = bucket.level
                 take_loan(loan)
                 got += bucket.level - before
--- a/tests/gateway/test_introductions.py
+++ b/tests/gateway/test_introductions.py
@@ -3,7 +3,7 @@
 
 import trio
 
-from plantainshed_gateway.heartbeats import DomainNews
+from plantainshed_gateway.heartbeats import DomainSummary
 from plantainshed_gateway.logs import DecisionLog
 from plantainshed_gateway.peer_messages import PeerMessageHandler
 from plantainshed_gateway.poison import PoisonBook
@@ -16,21 +16,21 @@
     ip = "10.0.0.0"
 
     def __init__(self):
-        self.told = 0
-        self.passed_on = 0
+        self.announced = 0
+        self.relayed = 0
 
     async def send_now(self, to_far=True):
-        self.told += 1
+        self.announced += 1
 
-    def pass_on(self):
-        self.passed_on += 1
+    def relay_summaries(self):
+        self.relayed += 1
 
     async def send(self, message, ip):
         pass
 
 
-def make_news(domain: str, number: int) -> DomainNews:
-    return DomainNews(domain, "veneto", f"{domain}-1", 1, number, "c:1", 0.1)
+def make_summary(domain: str, number: int) -> DomainSummary:
+    return DomainSummary(domain, "veneto", f"{domain}-1", 1, number, "c:1", 0.1)
 
 
 class TestIntroductions(unittest.TestCase):
@@ -54,26 +54,26 @@
     async def test_vm_that_is_heard_first_is_told_at_once(self):
         messages, peers = self.make_vm()
         await messages.handle(make_heartbeat("vm-1"), "10.0.0.1")
-        self.assertEqual(peers.told, 1)
+        self.assertEqual(peers.announced, 1)
         await trio.sleep(0.5)
         await messages.handle(make_heartbeat("vm-1", 2), "10.0.0.1")
-        self.assertEqual(peers.told, 1)
+        self.assertEqual(peers.announced, 1)
         await trio.sleep(5)
         await messages.handle(make_heartbeat("vm-1", 3), "10.0.0.1")
-        self.assertEqual(peers.told, 2)
+        self.assertEqual(peers.announced, 2)
 
     @on_mock_clock
     async def test_domain_that_is_heard_first_is_passed_on_and_told_at_once(self):
         messages, peers = self.make_vm()
-        await messages.handle(make_news("ven-a", 1), "10.0.1.1")
-        self.assertEqual((peers.told, peers.passed_on), (1, 1))
+        await messages.handle(make_summary("ven-a", 1), "10.0.1.1")
+        self.assertEqual((peers.announced, peers.relayed), (1, 1))
         await trio.sleep(1)
-        await messages.handle(make_news("ven-a", 2), "10.0.1.1")
-        self.assertEqual((peers.told, peers.passed_on), (1, 1))
+        await messages.handle(make_summary("ven-a", 2), "10.0.1.1")
+        self.assertEqual((peers.announced, peers.relayed), (1, 1))
 
     @on_mock_clock
     async def test_many_that_start_at_once_are_told_together(self):
         messages, peers = self.make_vm()
         for n in range(1, 40):
             await messages.handle(make_heartbeat(f"vm-{n}"), f"10.0.0.{n}")
-        self.assertEqual(peers.told, 1)
+        self.assertEqual(peers.announced, 1)
--- a/tests/gateway/test_loans.py
+++ b/tests/gateway/test_loans.py
@@ -2,7 +2,7 @@
 
 import trio
 
-from plantainshed_gateway.datagrams import TokenAsk, TokenLoan, decode, encode
+from plantainshed_gateway.datagrams import TokenLoan, TokenRequest, decode, encode
 from plantainshed_gateway.loans import Loans
 from plantainshed_gateway.model import Workspace
 from plantainshed_gateway.quota import Quotas
@@ -40,9 +40,9 @@
         receiver = self.loans[int(ip[-1])]
         message = decode(encode(message))
         await trio.sleep(0.012)
-        if isinstance(message, TokenAsk):
+        if isinstance(message, TokenRequest):
             self.asked += 1
-            await receiver.on_ask(message, f"10.0.0.{message.vm[-1]}")
+            await receiver.on_request(message, f"10.0.0.{message.vm[-1]}")
         elif isinstance(message, TokenLoan) and not self.loses_loans:
             receiver.on_loan(message)
 
@@ -59,7 +59,7 @@
         total = 0.0
         for quotas in self.quotas:
             for bucket in quotas.buckets.values():
-                bucket.fill()
+                bucket.refill()
                 total += bucket.level
         return total
 
--- a/tests/gateway/test_quota.py
+++ b/tests/gateway/test_quota.py
@@ -6,7 +6,7 @@
 
 from plantainshed_gateway.model import Workspace
 from plantainshed_gateway.quota import Quotas
-from tests.gateway.fleet_support import NewsFleet
+from tests.gateway.fleet_support import GossipFleet
 from tests.gateway.gateway_support import BOUNDS, make_members, make_round_trips
 from tests.support import on_mock_clock
 
@@ -28,8 +28,8 @@
     def __init__(self, count: int, domains: int = 0):
         domains = domains or count // 2
         sizes = {f"region{n % 3}-{n}": count // domains for n in range(domains)}
-        self.news = NewsFleet(sizes)
-        self.vms = list(self.news.vms.values())
+        self.gossip = GossipFleet(sizes)
+        self.vms = list(self.gossip.vms.values())
         self.quotas = [vm.quotas for vm in self.vms]
         for quotas in self.quotas:
             quotas.workspaces = {WORKSPACE.name: WORKSPACE}
@@ -42,8 +42,8 @@
         group_of = {
             self.vms[n].name: index for index, group in enumerate(groups) for n in group
         }
-        self.news.is_cut = lambda a, b: group_of[a.name] != group_of[b.name]
-        self.news.tick()
+        self.gossip.is_cut = lambda a, b: group_of[a.name] != group_of[b.name]
+        self.gossip.tick()
 
     def ask(self, vm: int):
         self.asked.append(trio.current_time())
@@ -53,11 +53,11 @@
     def is_lent(self, vm: int) -> bool:
         """Tell whether a holder of its failure domain lends a VM a token."""
         holders = self.quotas[vm].holders
-        if holders.is_own(WORKSPACE.name):
+        if holders.is_holder(WORKSPACE.name):
             return False
         return any(
-            self.news.vms[ip].quotas.take_for_loan(WORKSPACE.name, 0.0, 1.0)
-            for ip in holders.to_ask(WORKSPACE.name)
+            self.gossip.vms[ip].quotas.take_for_loan(WORKSPACE.name, 0.0, 1.0)
+            for ip in holders.holder_ips_to_ask(WORKSPACE.name)
         )
 
     async def play(self, seconds: float, rate: float, choose, groups=None):
@@ -143,7 +143,7 @@
 
     async def play_step(self, count: int, before: float, after: float) -> Fleet:
         fleet = Fleet(count, domains=6)
-        fleet.news.is_far_late = True
+        fleet.gossip.is_far_late = True
         await fleet.play(12.3, before, lambda rng: rng.randrange(count))
         await fleet.play(8, after, lambda rng: rng.randrange(count))
         return fleet
--- a/tests/gateway/test_speakers.py
+++ b/tests/gateway/test_speakers.py
@@ -3,13 +3,13 @@
 
 import trio
 
-from plantainshed_gateway.datagrams import TokenAsk
+from plantainshed_gateway.datagrams import TokenRequest
 from plantainshed_gateway.heartbeats import VmState
 from plantainshed_gateway.loans import Loans
 from plantainshed_gateway.model import Workspace
 from tests.support import on_mock_clock
 
-from .fleet_support import NewsFleet
+from .fleet_support import GossipFleet
 from .gateway_support import BOUNDS
 
 SIX_DOMAINS = {"mil-a": 4, "mil-b": 4, "ven-a": 4, "ven-b": 4, "tor-a": 4, "tor-b": 4}
@@ -30,7 +30,7 @@
 class TestNews(unittest.TestCase):
     @on_mock_clock
     async def test_all_vms_know_all_that_are_ready(self):
-        fleet = NewsFleet(SIX_DOMAINS)
+        fleet = GossipFleet(SIX_DOMAINS)
         await run(fleet, 6)
         everyone = sorted(vm.name for vm in fleet.vms.values())
         for vm in fleet.vms.values():
@@ -46,7 +46,7 @@
         The others of their domain live; callers of the region must still be
         told of them, and of none that was killed.
         """
-        fleet = NewsFleet(SIX_DOMAINS)
+        fleet = GossipFleet(SIX_DOMAINS)
         await run(fleet, 8)
         first = next(iter(fleet.vms.values()))
         for name in first.speakers.names():
@@ -59,7 +59,7 @@
 
     @on_mock_clock
     async def test_killed_vm_is_named_for_less_than_six_seconds(self):
-        fleet = NewsFleet(SIX_DOMAINS)
+        fleet = GossipFleet(SIX_DOMAINS)
         await run(fleet, 8)
         killed = fleet.vms.pop("10.0.0.3")
         await run(fleet, 11)
@@ -68,7 +68,7 @@
 
     @on_mock_clock
     async def test_lost_domain_is_silent_and_comes_back(self):
-        fleet = NewsFleet(SIX_DOMAINS)
+        fleet = GossipFleet(SIX_DOMAINS)
         await run(fleet, 8)
         fleet.is_cut = lambda a, b: (a.domain == "mil-a") != (b.domain == "mil-a")
         await run(fleet, 10)
@@ -82,7 +82,7 @@
 
     @on_mock_clock
     async def test_leaving_vm_is_told_of_and_does_not_speak(self):
-        fleet = NewsFleet(SIX_DOMAINS)
+        fleet = GossipFleet(SIX_DOMAINS)
         await run(fleet, 8)
         vm = fleet.vms["10.0.0.1"]
         vm.state = VmState.LEAVING
@@ -100,7 +100,7 @@
     """
 
     async def play(self, per_domain):
-        fleet = NewsFleet(dict.fromkeys(SIX_DOMAINS, per_domain), weights=(100, 10))
+        fleet = GossipFleet(dict.fromkeys(SIX_DOMAINS, per_domain), weights=(100, 10))
         workspaces = [Workspace(f"comune-{n}", rate_per_s=20.0) for n in range(80)]
         for vm in fleet.vms.values():
             for workspace in workspaces:
@@ -147,7 +147,7 @@
 
     @on_mock_clock
     async def test_no_window_sees_more_than_the_quota(self):
-        fleet = NewsFleet(SIX_DOMAINS)
+        fleet = GossipFleet(SIX_DOMAINS)
         await run(fleet, 8)
         most = await self.most_in_window(
             fleet, 25, 400, lambda rng, vms, step: rng.choice(vms)
@@ -157,7 +157,7 @@
 
     @on_mock_clock
     async def test_not_when_callers_move_between_domains(self):
-        fleet = NewsFleet(SIX_DOMAINS)
+        fleet = GossipFleet(SIX_DOMAINS)
         await run(fleet, 8)
 
         def choose(rng, vms, step):
@@ -168,7 +168,7 @@
 
     @on_mock_clock
     async def test_not_when_domains_are_cut_off_from_each_other(self):
-        fleet = NewsFleet(SIX_DOMAINS)
+        fleet = GossipFleet(SIX_DOMAINS)
         await run(fleet, 8)
         pick = lambda rng, vms, step: rng.choice(vms)  # noqa: E731
         await self.most_in_window(fleet, 5, 400, pick)
@@ -186,7 +186,7 @@
     @on_mock_clock
     async def test_is_served_by_holders_of_each_domain(self):
         workspace = Workspace("comune", rate_per_s=16.0, burst=16.0)
-        fleet = NewsFleet(dict.fromkeys(SIX_DOMAINS, 13))
+        fleet = GossipFleet(dict.fromkeys(SIX_DOMAINS, 13))
         loans = {}
         for ip, vm in fleet.vms.items():
             vm.quotas.workspaces = {workspace.name: workspace}
@@ -213,8 +213,8 @@
 
 def make_send(own_ip, loans):
     async def send(message, ip):
-        if isinstance(message, TokenAsk):
-            await loans[ip].on_ask(message, own_ip)
+        if isinstance(message, TokenRequest):
+            await loans[ip].on_request(message, own_ip)
         else:
             loans[ip].on_loan(message)
 
