--- a/packages/gateway/plantainshed_gateway/datagrams.py
+++ b/packages/gateway/plantainshed_gateway/datagrams.py
@@ -1,7 +1,8 @@
-"""Messages between VMs, as datagrams: a tag, then fields by position.
+"""Encoding of messages between VMs as datagrams: a tag, then fields by position.
 
-Names of fields are left out, and long messages compressed, because each byte
-between regions has its price: news of 13 VMs and 80 workspaces takes a quarter.
+Field names are omitted and long messages are compressed, because traffic between
+regions costs money per byte. A summary of 13 VMs and 80 workspaces shrinks to a
+quarter.
 """
 
 import zlib
@@ -21,19 +22,19 @@
 
 @frozen
 class TokenRequest:
-    """A VM asks another for tokens of a workspace's quota.
+    """Request for tokens of a workspace's quota.
 
     Parameters
     ----------
     vm : str
-        Who asks.
+        The VM that sends the request.
     number : int
-        Names the question; the answer bears it.
+        Identifies the request in the answer.
     workspace : str
     max_tokens : float
-        Tokens that it can use.
+        Maximum number of tokens to lend.
     reserved : float
-        Tokens that the other keeps for its own callers.
+        Tokens that the lender keeps for its own callers.
     """
 
     vm: str
@@ -45,7 +46,7 @@
 
 @frozen
 class TokenLoan:
-    """What a VM gives; it has taken the tokens from its own bucket before."""
+    """Answer to a `TokenRequest`, sent after withdrawing the tokens."""
 
     number: int
     tokens: float
@@ -53,7 +54,7 @@
 
 @frozen
 class MemberList:
-    """Which VMs the sender knows, for one that knows fewer.
+    """VMs known to the sender, for a VM that knows fewer.
 
     Parameters
     ----------
@@ -75,12 +76,12 @@
     "l": TokenLoan,
     "r": MemberList,
 }
-# From here on a message shrinks by more than half (2.3 KB to 0.9, 4.5 KB to 1.1)
-# for 8 to 53 us of processor time.
+# Messages of at least this size are compressed. They shrink by more than half (2.3 KB
+# to 0.9, 4.5 KB to 1.1) for 8 to 53 us of processor time.
 COMPRESSION_THRESHOLD_BYTES = 600
 COMPRESSION_LEVEL = 1
 ZLIB_HEADER = b"\x78"
-# Bounds what a forged datagram can unpack to.
+# Limits the memory that a forged datagram can use when decompressed.
 MAX_DECOMPRESSED_BYTES = 1_000_000
 _TAG_OF = {kind: tag for tag, kind in _BY_TAG.items()}
 _CONVERTER = cattrs.Converter(
@@ -88,9 +89,9 @@
 )
 
 
-# Uses of quotas are most of each message. By hand a heartbeat with 80 of them is
-# decoded in 0.18 ms, by the converter alone in 0.33; a VM of a domain of 13 takes
-# in 24 of them a second.
+# Quota usage makes up most of each message. With these hooks, decoding a heartbeat with
+# 80 entries takes 0.18 ms, with the plain converter 0.33 ms; a VM in a domain of 13
+# receives 24 heartbeats a second.
 _CONVERTER.register_unstructure_hook(
     QuotaUsage, lambda usage: (usage.demand, usage.share, usage.level)
 )
@@ -115,7 +116,7 @@
     lambda kind: kind == dict[str, UsageSummary],
     lambda fields, _: _structure_by_name(fields, _structure_usage_summary),
 )
-# What the converter raises on fields of another shape than a message's.
+# Exceptions that the converter raises for fields that do not form a message.
 _DECODING_ERRORS = (
     cattrs.BaseValidationError,
     AttributeError,
@@ -127,53 +128,60 @@
 
 @frozen
 class PackedSummary:
-    """News as it came in a bundle: most is known already and not decoded.
+    """Undecoded summary from a bundle.
+
+    Most summaries in a bundle are already known and never decoded.
 
     Parameters
     ----------
     fields : list
-        Of a `DomainSummary`, by position.
+        Fields of a `DomainSummary`, by position.
     """
 
     fields: list
 
     @property
     def failure_domain(self) -> str:
-        """Whose news it is."""
+        """Failure domain that the summary describes."""
         return self.fields[0]
 
     @property
     def speaker(self) -> str:
-        """VM that told it."""
+        """VM that sent the summary."""
         return self.fields[2]
 
     @property
     def version(self) -> tuple[int, int]:
-        """Incarnation and number."""
+        """Incarnation and number of the summary."""
         return self.fields[3], self.fields[4]
 
     def unpack(self) -> DomainSummary:
-        """Return the news, or raise `ValueError`."""
+        """Return the decoded summary, or raise `ValueError`."""
         try:
             return _CONVERTER.structure(self.fields, DomainSummary)
         except _DECODING_ERRORS as error:
-            raise ValueError(f"not news of a failure domain: {error!r}") from error
+            raise ValueError(
+                f"invalid summary of a failure domain: {error!r}"
+            ) from error
 
 
 def _structure_bundle(fields) -> SummaryBundle:
-    """Return a bundle whose news can be told apart without being decoded."""
+    """Return a bundle of packed summaries.
+
+    Their domains, speakers, and versions can be read without decoding them.
+    """
     (packed,) = fields
     summaries = tuple(PackedSummary(list(item)) for item in packed)
     for item in summaries:
         if not (isinstance(item.failure_domain, str) and isinstance(item.speaker, str)):
-            raise TypeError("news must name a failure domain and its speaker")
+            raise TypeError("a summary's failure domain and speaker must be strings")
         if not all(isinstance(number, int) for number in item.version):
-            raise TypeError("news must have whole numbers")
+            raise TypeError("a summary's incarnation and number must be integers")
     return SummaryBundle(summaries)
 
 
 def encode(message: Message) -> bytes:
-    """Return a message's bytes."""
+    """Return the datagram for a message."""
     data = orjson.dumps([_TAG_OF[type(message)], _CONVERTER.unstructure(message)])
     if len(data) < COMPRESSION_THRESHOLD_BYTES:
         return data
@@ -181,12 +189,12 @@
 
 
 def decode(data: bytes) -> Message:
-    """Return the message of a datagram, or raise `ValueError`."""
+    """Return the message in a datagram, or raise `ValueError`."""
     try:
         tag, fields = orjson.loads(_decompress(data))
         return _CONVERTER.structure(fields, _BY_TAG[tag])
     except _DECODING_ERRORS as error:
-        raise ValueError(f"not a message between VMs: {error!r}") from error
+        raise ValueError(f"invalid message: {error!r}") from error
 
 
 def _structure_by_name(fields, decode_value) -> dict:
@@ -212,9 +220,9 @@
     try:
         plain = unpacker.decompress(data, MAX_DECOMPRESSED_BYTES)
     except zlib.error as error:
-        raise ValueError(f"not a compressed message: {error}") from error
+        raise ValueError(f"message cannot be decompressed: {error}") from error
     if unpacker.unconsumed_tail:
         raise ValueError(
-            f"longer than {MAX_DECOMPRESSED_BYTES} bytes when decompressed"
+            f"message exceeds {MAX_DECOMPRESSED_BYTES} bytes when decompressed"
         )
     return plain
--- a/packages/gateway/plantainshed_gateway/demand.py
+++ b/packages/gateway/plantainshed_gateway/demand.py
@@ -1,4 +1,4 @@
-"""How many requests a second there are, as a running average, and were lately."""
+"""Request rates as running averages, and a history of recent values."""
 
 from collections import deque
 from collections.abc import Mapping
@@ -6,16 +6,16 @@
 import trio
 from attrs import define, field
 
-# Time over which demand is averaged. It spans a few heartbeats, so that VMs
-# that compute with news of different age get nearly the same shares.
+# Averaging time of demand. It spans several heartbeats, so VMs that compute with
+# reports of different ages get nearly the same shares.
 DEMAND_AVERAGING_S = 2.0
-# How long what was told is kept: longer than the oldest news that still counts.
+# Length of the history. It exceeds the age of the oldest report that is still used.
 HISTORY_S = 8.0
 
 
 @define
 class Demand:
-    """Requests a second, averaged over `DEMAND_AVERAGING_S`."""
+    """Requests per second, averaged over `DEMAND_AVERAGING_S`."""
 
     rate: float = 0.0
     counted_at: float = field(factory=trio.current_time)
@@ -26,7 +26,7 @@
         self.rate += 1.0 / DEMAND_AVERAGING_S
 
     def decay(self):
-        """Bring the average up to now."""
+        """Update the average to the current time."""
         now = trio.current_time()
         self.rate *= max(0.0, 1.0 - (now - self.counted_at) / DEMAND_AVERAGING_S)
         self.counted_at = now
@@ -34,14 +34,14 @@
 
 @define
 class PastDemand:
-    """Demand by workspace at a moment between two tellings.
+    """Demand by workspace at a moment, interpolated between two reports.
 
     Attributes
     ----------
     before, after : dict of str to float
-        Requests a second.
+        Requests per second in the two reports.
     weight : float
-        Of `after`, from 0 to 1.
+        Weight of `after`, from 0 to 1.
     """
 
     before: Mapping[str, float]
@@ -49,7 +49,7 @@
     weight: float
 
     def of(self, workspace: str) -> float:
-        """Return the requests a second that were asked for."""
+        """Return a workspace's demand in requests per second."""
         before = self.before.get(workspace, 0.0)
         after = self.after.get(workspace, 0.0)
         return before + (after - before) * self.weight
@@ -57,18 +57,18 @@
 
 @define
 class DemandHistory:
-    """What one VM, or failure domain, told lately of its demand.
+    """Recently reported demand of one VM or failure domain.
 
     Attributes
     ----------
     samples : deque of tuple
-        Moment and demand by workspace, oldest first.
+        Time and demand by workspace of each report, oldest first.
     """
 
     samples: deque[tuple[float, Mapping[str, float]]] = field(factory=deque)
 
-    def note(self, moment: float, demand: Mapping[str, float]):
-        """Take in what was so at a moment."""
+    def add(self, moment: float, demand: Mapping[str, float]):
+        """Record the demand at a moment."""
         while self.samples and self.samples[-1][0] >= moment:
             self.samples.pop()
         self.samples.append((moment, demand))
@@ -76,11 +76,14 @@
             self.samples.popleft()
 
     def covers(self, moment: float) -> bool:
-        """Tell whether anything was told up to a moment."""
+        """Return whether the history contains a sample at or before a moment."""
         return bool(self.samples) and self.samples[0][0] <= moment
 
     def at(self, moment: float) -> PastDemand:
-        """Return the demand at a moment; outside what is kept, at its end."""
+        """Return the demand at a moment.
+
+        Outside the recorded time, that is the demand of the first or last sample.
+        """
         after_at, after = moment, None
         for at, demand in reversed(self.samples):
             if at <= moment:
--- a/packages/gateway/plantainshed_gateway/heartbeats.py
+++ b/packages/gateway/plantainshed_gateway/heartbeats.py
@@ -1,8 +1,8 @@
-"""What VMs tell each other about themselves and their failure domains.
+"""Messages in which VMs report their own state and that of their failure domains.
 
-Inside a failure domain each VM hears each other one in full. Between domains
-pass only summaries, so that what a VM sends and takes in follows the size of
-its domain and not that of the fleet.
+Inside a failure domain, each VM receives the full heartbeats of all others. Only
+summaries are sent between domains, so the traffic of a VM grows with the size of its
+domain and not with the size of the fleet.
 """
 
 from enum import StrEnum
@@ -12,7 +12,7 @@
 
 
 class VmState(StrEnum):
-    """What a VM is doing."""
+    """Lifecycle state of a VM."""
 
     STARTING = "starting"
     READY = "ready"
@@ -21,16 +21,16 @@
 
 @frozen
 class QuotaUsage:
-    """What a VM uses of one workspace's quota.
+    """A VM's usage of one workspace's quota.
 
     Parameters
     ----------
     demand : float
-        Requests a second that its callers ask for.
+        Requests per second from its callers.
     share : float
-        Part of the quota that it allows itself, from 0 to 1.
+        Share of the quota that it uses, from 0 to 1.
     level : float
-        Tokens that it has at hand.
+        Tokens in its bucket.
     """
 
     demand: float
@@ -40,32 +40,32 @@
 
 @frozen
 class Heartbeat:
-    """One VM's news of itself.
+    """State of one VM, sent by the VM itself.
 
     Parameters
     ----------
     vm, failure_domain, region : str
     incarnation : int
-        Grows with each start of the VM's process.
+        Increases with each start of the VM's process.
     number : int
-        Grows with each heartbeat of an incarnation.
+        Increases with each heartbeat of an incarnation.
     state : VmState
     caller_address : str
         ``IP:PORT`` for callers.
     control_address : str
         ``IP:PORT`` for other VMs.
     known_vm_count : int
-        Number of VMs that it knows, itself included.
+        Number of VMs that it knows, including itself.
     weight : float
-        What its link carries, in Mbit/s.
+        Bandwidth of its link in Mbit/s.
     is_store_reachable : bool
         Whether the store answered its last calls.
     newest_revisions : dict of str to int
         Revision of the newest change that it knows, by collection.
     usage : dict of str to QuotaUsage
-        By workspace.
+        Quota usage by workspace.
     deaths : tuple of (str, str)
-        Fingerprints of requests, and the target that died under each.
+        Fingerprints of requests, each with a target that crashed while running it.
     """
 
     vm: str
@@ -86,18 +86,18 @@
 
 @frozen
 class VmSummary:
-    """A VM as its failure domain's speaker names it to others.
+    """State of a VM in its failure domain's summary.
 
     Parameters
     ----------
     vm, ip : str
     incarnation, number : int
-        Of the newest heartbeat.
+        From the newest heartbeat.
     state : VmState
     caller_address : str
     weight : float
     age_s : float
-        Time since that heartbeat was heard.
+        Time since that heartbeat was received.
     """
 
     vm: str
@@ -112,16 +112,16 @@
 
 @frozen
 class UsageSummary:
-    """What a failure domain uses of one workspace's quota.
+    """A failure domain's usage of one workspace's quota.
 
     Parameters
     ----------
     demand, share : float
         Sums over the VMs that are alive.
     silent_share : float
-        Shares that silent VMs had; they may still use them.
+        Last known shares of silent VMs, which may still use them.
     level : float
-        Tokens at the VM that has most.
+        Tokens on the VM that has the most.
     lender : str
         IP address of that VM.
     """
@@ -135,25 +135,26 @@
 
 @frozen
 class DomainSummary:
-    """A failure domain's state, as one of its VMs tells other domains.
+    """Summary of a failure domain's state, sent by one of its VMs to other domains.
 
     Parameters
     ----------
     failure_domain, region : str
     speaker : str
-        VM that speaks.
+        VM that sent the summary.
     incarnation, number : int
-        Of its news; higher ones are newer.
+        Version of the summary. Higher ones are newer.
     control_address : str
-        Speaker's ``IP:PORT`` for other VMs.
+        The speaker's ``IP:PORT`` for other VMs.
     age_s : float
-        Age of the oldest heartbeat that the sums rest on.
+        Age of the oldest heartbeat in the sums.
     vms : tuple of VmSummary
     newest_revisions : dict of str to int
         Revision of the newest change that the speaker knows, by collection.
     usage : dict of str to UsageSummary
-        By workspace.
+        Quota usage by workspace.
     deaths : tuple of (str, str)
+        See `Heartbeat`.
     """
 
     failure_domain: str
@@ -171,12 +172,12 @@
 
 @frozen
 class SummaryBundle:
-    """News of several failure domains, passed on inside one.
+    """Summaries of several failure domains, relayed inside one.
 
     Parameters
     ----------
     summaries : tuple
-        `DomainSummary`; as it was received, still in the form of a datagram.
+        `DomainSummary` objects, or `PackedSummary` objects after decoding a datagram.
     """
 
     summaries: tuple[Any, ...]
--- a/packages/gateway/plantainshed_gateway/holders.py
+++ b/packages/gateway/plantainshed_gateway/holders.py
@@ -1,11 +1,11 @@
-"""Which VMs of a failure domain hold its part of a workspace's quota.
+"""Selection of the VMs of a failure domain that hold its share of a quota.
 
-Load that it answers: a small workspace whose requests come in at many VMs. Were
-each of 80 VMs to hold a part of 10 requests a second, most would have no whole
-token when a request comes: 7 % of requests within their quota were refused. Two
-VMs of each domain hold all of the domain's part, the same by rendezvous hash on
-all of them, and the others ask them for each request, a round trip inside the
-domain of less than a millisecond.
+The load this is designed for: a small workspace whose requests arrive at many VMs. If
+each of 80 VMs held a share of 10 requests a second, most would have no whole token when
+a request arrives; 7 % of the requests within their quota were refused that way.
+Instead, two VMs of each domain hold the domain's whole share. All VMs of the domain
+select the same two by rendezvous hashing, and the others request a token from them for
+each request. This takes a round trip inside the domain of less than a millisecond.
 """
 
 from plantainshed_coordination.digests import rendezvous_order, unit_hash
@@ -13,12 +13,12 @@
 from .heartbeats import VmState
 from .members import Members
 
-# Holders in each failure domain: a lost or paused one leaves another.
+# Number of holders in each failure domain. If one is lost or paused, the other remains.
 HOLDERS_PER_DOMAIN = 2
 
 
 class Holders:
-    """Finds holders in this VM's failure domain.
+    """Selects the holders in this VM's failure domain.
 
     Parameters
     ----------
@@ -37,7 +37,7 @@
         return self.members.own.vm
 
     def refresh(self):
-        """Look again which VMs of the failure domain are ready."""
+        """Update the set of ready VMs in the failure domain."""
         ips = {
             member.heartbeat.vm: member.ip
             for member in self.members.near()
@@ -50,7 +50,7 @@
         self.ips = ips
 
     def of(self, workspace: str) -> tuple[str, ...]:
-        """Return the names of a workspace's holders."""
+        """Return the names of a workspace's holders in this failure domain."""
         order = self._orders.get(workspace)
         if order is None:
             order = tuple(rendezvous_order(workspace, self.ips)[:HOLDERS_PER_DOMAIN])
@@ -58,24 +58,24 @@
         return order
 
     def is_holder(self, workspace: str) -> bool:
-        """Tell whether this VM holds a part of a workspace's quota."""
+        """Return whether this VM holds a share of a workspace's quota."""
         return self.own in self.of(workspace)
 
     def holder_for(self, vm: str, workspace: str) -> str:
-        """Return the holder that a VM asks first; itself if it is one."""
+        """Return the holder that a VM asks first. A holder asks itself."""
         holders = self.of(workspace)
         if vm in holders:
             return vm
         return holders[int(unit_hash(vm, workspace) * len(holders))]
 
     def holder_ips_to_ask(self, workspace: str) -> list[str]:
-        """Return the IP addresses of the holders that this VM asks, in order."""
+        """Return the IP addresses of the holders for this VM to ask, in order."""
         first = self.holder_for(self.own, workspace)
         others = [vm for vm in self.of(workspace) if vm != first]
         return [self.ips[vm] for vm in (first, *others) if vm != self.own]
 
     def fleet_holder_count(self) -> int:
-        """Return how many holders each workspace has in all failure domains."""
+        """Return the number of holders of each workspace in all failure domains."""
         ready: dict[str, int] = {}
         for beat in self.members.ready():
             ready[beat.failure_domain] = ready.get(beat.failure_domain, 0) + 1
--- a/packages/gateway/plantainshed_gateway/loans.py
+++ b/packages/gateway/plantainshed_gateway/loans.py
@@ -1,14 +1,15 @@
-"""Borrowing tokens of a workspace's quota from another VM.
-
-Load that it answers: a small workspace whose requests clump on one VM while the
-tokens of its quota lie at others. A request that finds none asks near VMs one
-after the other, then far ones at once, unless the workspace is over its rate: a
-far token would come late and be missed there. A VM that has few left asks ahead,
-so that a request seldom waits for a round trip between regions.
-
-The lender takes tokens from its bucket before it answers, so a lost message loses
-tokens and never makes any. A loan that comes after its request was refused is
-kept for the next one.
+"""Borrowing of quota tokens between VMs.
+
+The load this is designed for: a small workspace whose requests arrive in bursts at one
+VM while its tokens are on other VMs. For a request without a token, the VM asks near
+VMs one after the other and then several far VMs at once. Far VMs are not asked if the
+workspace exceeds its rate: the token would arrive late, and the far VM needs it for its
+own callers. A VM that is running out of tokens prefetches some, so that requests rarely
+wait for a round trip between regions.
+
+The lender withdraws the tokens from its bucket before it answers. A lost message
+therefore loses tokens but never duplicates them. A loan that arrives after its request
+was refused is kept for the next request.
 """
 
 import itertools
@@ -23,22 +24,23 @@
 from .quota import Quotas
 from .round_trips import RoundTrips
 
-# VMs that are asked one after the other: with two, 4 % of a small workspace's
-# requests were refused at 78 VMs, with four 0.4 % (played without a network).
+# Number of near VMs that are asked one after the other. In a simulation without a
+# network at 78 VMs, 4 % of a small workspace's requests were refused with two, 0.4 %
+# with four.
 NEAR_LENDERS_TRIED = 4
-# Far VMs that are asked at once. What they knew is a second old; the one with
-# most tokens may have none by now.
+# Number of far VMs that are asked at once. Their known levels are a second old, so the
+# VM with the highest level may have no token left.
 FAR_LENDERS_ASKED = 3
-# Pause in which a holder that gave no answer is asked last.
+# Time for which a holder that did not answer is moved to the end of the list.
 UNRESPONSIVE_PAUSE_S = 1.0
-# Pause after nobody lent. A workspace far over its quota would otherwise cost
-# a round trip for each of its requests.
+# Pause after a borrow attempt in which no VM lent a token. Without it, each request of
+# a workspace far over its quota would cost a round trip.
 BORROW_PAUSE_S = 0.25
-# Time for which a loan that was waited for in vain is still taken. The lender's
-# bucket has been filled again; taken much later it would be there twice.
+# Time for which a loan that missed its request is still accepted. The lender's bucket
+# refills meanwhile, so a token accepted much later would exist twice.
 LATE_LOAN_LIMIT_S = 1.0
-# Tokens that a lender keeps for its own callers from one that asks ahead, and
-# the most it gives.
+# Tokens that a lender keeps for its own callers when another VM prefetches, and the
+# maximum size of a loan.
 LENDER_RESERVE = 1.0
 MAX_LOAN = 3.0
 
@@ -47,16 +49,16 @@
 
 @define
 class _RequestBatch:
-    """Questions that were sent at once.
+    """Token requests that were sent at the same time.
 
     Attributes
     ----------
     pending_count : int
-        Questions that are not answered yet.
+        Requests that are not answered yet.
     tokens : float
-        What the answers brought.
+        Tokens received in the answers.
     done : trio.Event
-        Set once one of them brought a token, or all are answered.
+        Set once an answer contained a token or all requests are answered.
     """
 
     pending_count: int = 0
@@ -72,7 +74,7 @@
 
 @define
 class _PendingRequest:
-    """A question that was sent and not answered yet."""
+    """A token request that is not answered yet."""
 
     workspace: str
     lender: "_Lender"
@@ -88,7 +90,7 @@
 
 
 class Loans:
-    """Asks other VMs for tokens, and lends own ones.
+    """Requests tokens from other VMs and lends own ones.
 
     Parameters
     ----------
@@ -112,10 +114,13 @@
         self._next_prefetch_at: dict[str, float] = {}
         self._unresponsive_until: dict[str, float] = {}
 
-    # Of requests that found no token.
+    # Borrowing for requests without a token.
 
     async def borrow(self, workspace: Workspace) -> bool:
-        """Add borrowed tokens to this VM's bucket; tell whether there are any."""
+        """Add borrowed tokens to this VM's bucket.
+
+        Returns whether any were borrowed.
+        """
         name = workspace.name
         if trio.current_time() < self._next_borrow_at.get(name, 0.0):
             return False
@@ -124,13 +129,16 @@
             if await self._request_from_all(lenders, name):
                 return True
             if self.quotas.has_token(name):
-                # The bucket has been filled meanwhile.
+                # The bucket has refilled in the meantime.
                 return False
         self._next_borrow_at[name] = trio.current_time() + BORROW_PAUSE_S
         return False
 
     def _lender_batches(self, name: str) -> Iterator[list[_Lender]]:
-        """Yield whom to ask at once; mostly the first round is the only one."""
+        """Yield groups of lenders to ask at the same time.
+
+        The first group is usually sufficient.
+        """
         for lender in self._near_lenders(name)[:NEAR_LENDERS_TRIED]:
             yield [lender]
         if not self.quotas.is_exhausted(name):
@@ -139,7 +147,7 @@
                 yield far
 
     async def _request_from_all(self, lenders: list[_Lender], name: str) -> bool:
-        """Ask some VMs at once; tell whether a token came in time."""
+        """Ask several VMs at once; return whether a token arrived in time."""
         batch = _RequestBatch()
         for lender in lenders:
             await self._send_request(lender, name, 1.0, 0.0, batch)
@@ -156,10 +164,13 @@
             if request.batch is batch:
                 self._unresponsive_until[request.lender.ip] = until
 
-    # Ahead of requests.
+    # Prefetching.
 
     async def prefetch(self, workspace: Workspace):
-        """Ask for tokens if requests to come may find none; waits for nothing."""
+        """Request tokens if the bucket may soon run empty.
+
+        Does not wait for the answer.
+        """
         name = workspace.name
         now = trio.current_time()
         if now < self._next_prefetch_at.get(name, 0.0):
@@ -182,10 +193,10 @@
             candidates[0], name, max_tokens, LENDER_RESERVE, _RequestBatch()
         )
 
-    # Whom to ask.
+    # Selection of lenders.
 
     def _near_lenders(self, name: str) -> list[_Lender]:
-        """Return holders in the own region, those with most tokens first."""
+        """Return holders in this region, the one with the most tokens first."""
         own = self.members.own
         lenders = []
         for member in self.members.near():
@@ -196,7 +207,8 @@
         lenders = self._by_level(lenders)
         if self.quotas.holders.is_holder(name):
             return lenders
-        # This VM holds no part: the same holder of its domain counts its requests.
+        # This VM is not a holder. It always asks the same holder of its domain first,
+        # and that holder counts its demand.
         first = [
             _Lender(ip, own.failure_domain, 1.0)
             for ip in self.quotas.holders.holder_ips_to_ask(name)
@@ -207,7 +219,7 @@
         )
 
     def _far_lenders(self, name: str) -> list[_Lender]:
-        """Return holders in other regions, those with most tokens first."""
+        """Return holders in other regions, the one with the most tokens first."""
         return self._by_level(self._lenders_in_domains(name, in_own_region=False))
 
     def _lenders_in_domains(self, name: str, in_own_region: bool) -> list[_Lender]:
@@ -257,7 +269,7 @@
             del self._pending[number]
 
     async def on_request(self, request: TokenRequest, ip: str):
-        """Answer another VM's question."""
+        """Answer another VM's token request."""
         max_tokens = min(request.max_tokens, MAX_LOAN)
         tokens = self.quotas.take_for_loan(
             request.workspace, request.reserved, max_tokens
@@ -265,7 +277,7 @@
         await self.send(TokenLoan(request.number, tokens), ip)
 
     def on_loan(self, loan: TokenLoan):
-        """Take in an answer, unless it comes far too late."""
+        """Add the tokens of a loan unless it arrives too late."""
         self._drop_expired()
         request = self._pending.pop(loan.number, None)
         if request is None:
--- a/packages/gateway/plantainshed_gateway/members.py
+++ b/packages/gateway/plantainshed_gateway/members.py
@@ -1,7 +1,8 @@
-"""Which VMs there are, which are alive, and what they use of shared limits.
+"""Known VMs, whether they are alive, and their usage of quotas.
 
-VMs of the own failure domain are heard directly, with all that they say. Others
-are known from the news of their domains, which name each VM and sum up the rest.
+A VM receives the full heartbeats of the VMs in its own failure domain. It knows the
+others from the summaries of their failure domains, which list each VM and contain the
+sums of the remaining data.
 """
 
 from collections.abc import Mapping
@@ -19,41 +20,41 @@
     VmSummary,
 )
 
-# Time without a heartbeat after which a VM of the own failure domain counts as
-# silent: four of them may be lost.
+# Time without a heartbeat after which a VM of the own failure domain counts as silent.
+# This allows for four lost heartbeats.
 HEARTBEAT_TIMEOUT_S = 2.6
-# The same for other domains, whose news comes once a second and is passed on
-# within half of one. Look-ups must not name a VM that was killed 6 s ago.
+# The timeout for VMs of other domains, whose summaries are sent once a second and
+# relayed within half a second. Look-ups must not return a VM that was killed 6 s ago.
 FAR_HEARTBEAT_TIMEOUT_S = 3.8
-# Time after a domain's news in which that of its other speaker is left aside:
-# a little less than the second between two of one speaker's.
+# Time after a domain's summary during which a summary from the domain's other speaker
+# is ignored. It is slightly shorter than the second between two summaries of one
+# speaker.
 DUPLICATE_SUMMARY_S = 0.9
-# How long a VM that was listed, and not heard yet, counts as about to be: its
-# first heartbeat comes within what a start and the news of its domain take.
+# Time for which a listed VM that has not been heard yet is expected to send its first
+# heartbeat. It covers the start of a VM and the delivery of its domain's summary.
 FIRST_HEARTBEAT_WAIT_S = 4.0
-# How long the list of ready VMs is used before it is made again.
+# Time for which the list of ready VMs is cached.
 READY_CACHE_S = 0.1
-# How long a silent VM is still sent heartbeats and keeps its part of limits.
+# Time for which a silent VM is still sent heartbeats and keeps its share of limits.
 FORGET_AFTER_S = 300.0
 
 
 @define
 class Member:
-    """Another VM as this one knows it.
+    """Another VM as this VM knows it.
 
     Attributes
     ----------
     ip, failure_domain : str
-        Where it is.
     heartbeat : Heartbeat or None
-        The newest one; without its use of quotas if it is in another failure
-        domain, and None if it was only listed.
+        The newest heartbeat. It has no quota usage if the VM is in another failure
+        domain, and is None if the VM was only listed.
     heard_at : float
-        When that was heard, by this VM or by the one that told.
+        When the heartbeat was received, by this VM or by the speaker that reported it.
     alive_s : float
-        Time after that for which it counts as alive.
+        Time after `heard_at` for which the VM counts as alive.
     demand_history : DemandHistory
-        By its heartbeats; empty if it is in another failure domain.
+        Demand in its heartbeats. Empty if the VM is in another failure domain.
     """
 
     ip: str
@@ -66,12 +67,12 @@
 
     @property
     def is_alive(self) -> bool:
-        """Whether it was heard a moment ago."""
+        """Whether the newest heartbeat is recent enough."""
         return trio.current_time() - self.heard_at < self.alive_s
 
     @property
     def is_expected(self) -> bool:
-        """Whether it was listed a moment ago and may be about to be heard."""
+        """Whether it was listed recently and has not sent a heartbeat yet."""
         if self.heartbeat is not None:
             return False
         return trio.current_time() - self.known_since < FIRST_HEARTBEAT_WAIT_S
@@ -86,14 +87,17 @@
 
 @define
 class FarDomain:
-    """Another failure domain's newest news, and when it was told.
+    """The newest summary of another failure domain.
 
     Attributes
     ----------
+    summary : DomainSummary
+    heard_at : float
+        When this VM received the summary.
     latest_by_speaker : dict of str to (int, int)
-        Incarnation and number of the newest news, by speaker.
+        Incarnation and number of the newest summary from each speaker.
     demand_history : DemandHistory
-        By its news.
+        Demand in its summaries.
     """
 
     summary: DomainSummary
@@ -103,32 +107,32 @@
 
     @property
     def oldest_heartbeat_at(self) -> float:
-        """When the oldest heartbeat was heard that its sums rest on."""
+        """When the oldest heartbeat in the summary's sums was received."""
         return self.heard_at - self.summary.age_s
 
     @property
     def is_recent(self) -> bool:
-        """Whether other news of it than its speaker's next need not be taken."""
+        """Whether a summary from the domain's other speaker would be redundant."""
         return trio.current_time() - self.heard_at < DUPLICATE_SUMMARY_S
 
     @property
     def is_fresh(self) -> bool:
-        """Whether the domain was heard of a moment ago."""
+        """Whether the summary is recent enough for the domain to count as alive."""
         return trio.current_time() - self.heard_at < FAR_HEARTBEAT_TIMEOUT_S
 
 
 @frozen
 class UsageTotals:
-    """What all other VMs use of one workspace's quota.
+    """Usage of one workspace's quota by all other VMs.
 
     Parameters
     ----------
     demand, share : float
-        Sums over VMs that are alive.
+        Sums over the VMs that are alive.
     past_demand : float
-        The same as it was at the moment of the view.
+        The sum of demand at the moment of the view.
     silent_share : float
-        Shares of silent VMs; they may live behind a partition and use them.
+        Shares of silent VMs. They may be alive behind a partition and still use them.
     """
 
     demand: float
@@ -138,19 +142,19 @@
 
 
 class Members:
-    """All VMs that this one knows, itself aside.
+    """All VMs that this VM knows, except itself.
 
     Parameters
     ----------
     own : Heartbeat
-        Replaced with each heartbeat that is sent.
+        This VM's own heartbeat, replaced each time one is sent.
 
     Attributes
     ----------
     far : dict of str to FarDomain
         Other failure domains, by name.
     is_listed : bool
-        Whether the store, or another VM, has told which VMs there are.
+        Whether the store or another VM has supplied a list of the VMs.
     """
 
     def __init__(self, own: Heartbeat):
@@ -160,10 +164,10 @@
         self.is_listed = False
         self._ready_vms: tuple[float, list[str]] = (float("-inf"), [])
 
-    # What this VM is told.
+    # Updates.
 
     def note_listed(self, vm: str, ip: str, failure_domain: str):
-        """Take in a VM that the store, or another VM, names."""
+        """Add a VM that the store or another VM lists."""
         if vm == self.own.vm:
             return
         member = self.table.get(vm)
@@ -173,13 +177,13 @@
             member.ip = ip
 
     def record_heartbeat(self, heartbeat: Heartbeat, ip: str) -> bool:
-        """Take in a heartbeat; tell whether it is newer than what is known."""
+        """Record a heartbeat; return whether it is newer than the known one."""
         if heartbeat.vm == self.own.vm:
             return False
         if not self._record(heartbeat, ip, 0.0, HEARTBEAT_TIMEOUT_S):
             return False
         demand_history = self.table[heartbeat.vm].demand_history
-        demand_history.note(trio.current_time(), _demand_by_workspace(heartbeat.usage))
+        demand_history.add(trio.current_time(), _demand_by_workspace(heartbeat.usage))
         return True
 
     def _record(self, beat: Heartbeat, ip: str, age_s: float, alive_s: float) -> bool:
@@ -189,7 +193,8 @@
             return False
         heard_at = trio.current_time() - age_s
         if known is not None and _version(beat) == _version(known):
-            # Told again by another VM, which may have heard it later.
+            # The same heartbeat was reported by another VM, which may have received it
+            # later.
             member.heard_at = max(member.heard_at, heard_at)
             return False
         member.ip, member.failure_domain = ip, beat.failure_domain
@@ -199,9 +204,9 @@
         return True
 
     def record_summary(self, summary: DomainSummary) -> bool:
-        """Take in another domain's news; tell whether it is newer than known.
+        """Record another domain's summary; return whether it is newer than known.
 
-        Whoever has it packed asks `wants_summary` first, which spares decoding it.
+        For a packed summary, callers check `wants_summary` first to avoid decoding it.
         """
         version = summary.incarnation, summary.number
         if not self.wants_summary(summary.failure_domain, summary.speaker, version):
@@ -213,7 +218,7 @@
         domain = FarDomain(
             summary, trio.current_time(), latest_by_speaker, demand_history
         )
-        demand_history.note(
+        demand_history.add(
             domain.oldest_heartbeat_at, _demand_by_workspace(summary.usage)
         )
         self.far[summary.failure_domain] = domain
@@ -228,19 +233,20 @@
     def wants_summary(
         self, failure_domain: str, speaker: str, version: tuple[int, int]
     ) -> bool:
-        """Tell whether a domain's news is newer than what is known."""
+        """Return whether a summary is newer than the known one and not redundant."""
         if failure_domain == self.own.failure_domain:
             return False
         known = self.far.get(failure_domain)
         if known is None:
             return True
         if known.is_recent and known.summary.speaker != speaker:
-            # Its other speaker has just told the same; one in time is enough.
+            # The domain's other speaker has just sent the same data. One summary per
+            # interval is enough.
             return False
         return version > known.latest_by_speaker.get(speaker, (-1, -1))
 
     def forget_gone(self) -> list[str]:
-        """Forget VMs that have long been silent; return their names."""
+        """Remove VMs that have been silent for long; return their names."""
         gone = [vm for vm, member in self.table.items() if member.is_forgotten]
         for vm in gone:
             del self.table[vm]
@@ -250,15 +256,15 @@
                 del self.far[name]
         return gone
 
-    # Who is there.
+    # Membership.
 
     def is_alive(self, vm: str) -> bool:
-        """Tell whether another VM was heard a moment ago."""
+        """Return whether another VM is alive."""
         member = self.table.get(vm)
         return member is not None and member.is_alive
 
     def alive(self) -> list[Heartbeat]:
-        """Return the newest heartbeats of this VM and all that are alive."""
+        """Return the newest heartbeats of this VM and of all others that are alive."""
         heard = [
             member.heartbeat
             for member in self.table.values()
@@ -267,11 +273,11 @@
         return [self.own, *heard]
 
     def ready(self) -> list[Heartbeat]:
-        """Return those that take callers."""
+        """Return the heartbeats of VMs that accept callers."""
         return [beat for beat in self.alive() if beat.state is VmState.READY]
 
     def ready_vms(self) -> list[str]:
-        """Return their names, as they were a moment ago: asked for often."""
+        """Return the names of ready VMs from a short-lived cache."""
         at, names = self._ready_vms
         if trio.current_time() - at > READY_CACHE_S:
             names = [beat.vm for beat in self.ready()]
@@ -279,50 +285,50 @@
         return names
 
     def near(self) -> list[Member]:
-        """Return the other VMs of the own failure domain, silent ones too."""
+        """Return the other VMs of the own failure domain, including silent ones."""
         return self.in_domain(self.own.failure_domain)
 
     def in_domain(self, failure_domain: str) -> list[Member]:
-        """Return the other VMs of a failure domain, silent ones too."""
+        """Return the other VMs of a failure domain, including silent ones."""
         return [m for m in self.table.values() if m.failure_domain == failure_domain]
 
     def not_heard_yet(self) -> int:
-        """Return how many VMs were listed a moment ago and not heard since."""
+        """Return the number of VMs that are expected to send a first heartbeat."""
         return sum(1 for member in self.table.values() if member.is_expected)
 
     def heard_count(self) -> int:
-        """Return how many VMs were ever heard, this one included."""
+        """Return the number of VMs ever heard, including this one."""
         return 1 + sum(1 for m in self.table.values() if m.heartbeat is not None)
 
     @property
     def count(self) -> int:
-        """Number of VMs that exist, silent ones and this one included."""
+        """Number of known VMs, including silent ones and this one."""
         return 1 + len(self.table)
 
-    # Their use of quotas.
+    # Quota usage.
 
     def usage_view(self, moment: float) -> "UsageView":
-        """Return what all other VMs use of quotas now, and asked for at a moment."""
+        """Return the current quota usage of all other VMs and their past demand."""
         near = [m for m in self.near() if m.heartbeat is not None]
         return UsageView(near, list(self.far.values()), moment)
 
     def oldest_heard_at(self) -> float:
-        """Return when the oldest news that `use_of` counts was said."""
+        """Return when the oldest report that `usage_view` uses was sent."""
         heard = [m.heard_at for m in self.near() if m.is_alive]
         heard += [d.oldest_heartbeat_at for d in self.far.values() if d.is_fresh]
         return min(heard, default=trio.current_time())
 
 
 class UsageView:
-    """What other VMs use of quotas, as it was heard up to a moment.
+    """Quota usage of all other VMs.
 
     Parameters
     ----------
     near : list of Member
-        Of the own failure domain.
+        VMs of the own failure domain.
     far : list of FarDomain
     moment : float
-        For which demand is told too.
+        Time for which `UsageTotals.past_demand` is computed.
     """
 
     def __init__(self, near: list[Member], far: list[FarDomain], moment: float):
@@ -339,7 +345,7 @@
         ]
 
     def of(self, workspace: str) -> UsageTotals:
-        """Return the totals for one workspace."""
+        """Return the totals of one workspace."""
         near = self.near.of(workspace)
         demand, share, silent_share = near.demand, near.share, near.silent_share
         for is_fresh, usages in self.far:
@@ -357,12 +363,12 @@
 
 
 class UsageSums:
-    """Sums over VMs of one failure domain, by workspace.
+    """Sums of quota usage over VMs of one failure domain, by workspace.
 
     Parameters
     ----------
     members : list of Member
-        That were heard.
+        VMs that have sent a heartbeat.
     """
 
     def __init__(self, members: list[Member]):
@@ -370,11 +376,11 @@
         self.alive = [m.heartbeat for m in members if m.is_alive]
 
     def workspaces(self) -> set[str]:
-        """Return the workspaces whose quotas VMs that are alive use."""
+        """Return the workspaces whose quotas live VMs use."""
         return {name for beat in self.alive for name in beat.usage}
 
     def of(self, workspace: str) -> UsageSummary:
-        """Return what they use of a workspace's quota."""
+        """Return the usage of one workspace's quota."""
         demand = share = silent_share = level = 0.0
         lender = ""
         for ip, is_alive, usages in self.usages:
--- a/packages/gateway/plantainshed_gateway/peer_messages.py
+++ b/packages/gateway/plantainshed_gateway/peer_messages.py
@@ -1,8 +1,8 @@
-"""What this VM does with messages of other VMs.
+"""Handling of messages from other VMs.
 
-Heartbeats and news say who is there, what they use of quotas, and which changes
-of the store they know; asks and loans move tokens; a roster names VMs to one that
-knows fewer.
+Heartbeats and domain summaries report which VMs exist, their quota usage, and which
+changes of the store they know. Token requests and loans move tokens between VMs. A
+member list is sent to a VM that knows fewer VMs than the sender.
 """
 
 import trio
@@ -19,14 +19,15 @@
 from .replication import Follower
 from .speakers import Speakers
 
-# Pause before a VM is told again which others there are.
+# Minimum time between two member lists sent to the same VM.
 MEMBER_LIST_PAUSE_S = 2.0
-# Pause between answers to VMs that are heard for the first time.
+# Minimum time between two announcements that are triggered by VMs heard for the first
+# time.
 ANNOUNCE_PAUSE_S = 0.1
 
 
 class PeerMessageHandler:
-    """Hands what other VMs say to the parts that it concerns.
+    """Dispatches messages from other VMs to the components that they concern.
 
     Parameters
     ----------
@@ -41,7 +42,7 @@
     Attributes
     ----------
     nursery : trio.Nursery or None
-        Runs what a message starts; set while the gateway runs.
+        Runs tasks that messages start. Set while the gateway runs.
     """
 
     def __init__(
@@ -64,11 +65,11 @@
         self.nursery: trio.Nursery | None = None
         self._announced_at = float("-inf")
         self._member_list_sent_at: dict[str, float] = {}
-        # Runs of VMs of this failure domain that were heard to leave.
+        # Incarnations of VMs of this failure domain that have announced to leave.
         self._leaving_incarnations: dict[str, int] = {}
 
     async def handle(self, message: Message, ip: str):
-        """Act on one message; `ip` is its sender's."""
+        """Handle one message from the VM at an IP address."""
         if isinstance(message, TokenRequest):
             await self.loans.on_request(message, ip)
         elif isinstance(message, TokenLoan):
@@ -80,7 +81,7 @@
         elif isinstance(message, SummaryBundle):
             self._on_bundle(message)
         elif message.failure_domain != self.members.own.failure_domain:
-            # Only a VM that knows nobody sends its heartbeat so far.
+            # Only a VM that knows no other VM sends its heartbeat to another domain.
             self.members.note_listed(message.vm, ip, message.failure_domain)
             await self._send_member_list(message, ip)
         else:
@@ -98,10 +99,10 @@
             await self.peers.send_now()
 
     async def _announce(self):
-        """Tell VMs that are heard for the first time, or again, about this one.
+        """Announce this VM to VMs that are heard for the first time or again.
 
-        After all were off each knows of no other, and until they do a workspace's
-        tokens cannot move between them.
+        After a restart of the whole fleet, no VM knows another. Until they do, a
+        workspace's tokens cannot move between them.
         """
         now = trio.current_time()
         if now - self._announced_at >= ANNOUNCE_PAUSE_S:
@@ -116,11 +117,11 @@
         return True
 
     async def _send_member_list(self, heartbeat: Heartbeat, ip: str):
-        """Tell a VM that knows fewer others than this one.
+        """Send a list of VMs to a VM that knows fewer than this one.
 
-        While the store is away, one that starts knows only the seeds of its
-        settings. The others would not name it in look-ups, nor leave it a part
-        of quotas.
+        A VM that starts while the store is unavailable knows only the seeds of its
+        settings. Without the list, the others would neither return it in look-ups nor
+        leave it a share of quotas.
         """
         now = trio.current_time()
         sent_at = self._member_list_sent_at.get(heartbeat.vm, float("-inf"))
@@ -142,7 +143,7 @@
             self.members.note_listed(vm, ip, failure_domain)
 
     async def _on_summary(self, summary: DomainSummary):
-        """Take in what another failure domain told, and pass it on in this one."""
+        """Record another failure domain's summary and relay it inside this one."""
         known = self.members.far.get(summary.failure_domain)
         was_fresh = known is not None and known.is_fresh
         if self._record_summary(summary):
@@ -160,7 +161,7 @@
             try:
                 self._record_summary(packed.unpack())
             except ValueError as error:
-                self.log.event("news not understood", problem=str(error))
+                self.log.event("summary not understood", problem=str(error))
 
     def _record_summary(self, summary: DomainSummary) -> bool:
         if not self.members.record_summary(summary):
@@ -180,7 +181,7 @@
     def _catch_up_followers(
         self, newest_revisions: dict[str, int], control: str, is_near: bool
     ):
-        """Fetch from another VM what it knows and this one does not."""
+        """Fetch changes that another VM knows and this one does not."""
         for name, newest in newest_revisions.items():
             follower = self.followers.get(name)
             if follower is not None and newest > follower.replica.revision:
--- a/packages/gateway/plantainshed_gateway/peers.py
+++ b/packages/gateway/plantainshed_gateway/peers.py
@@ -1,6 +1,6 @@
-"""What VMs say to each other: heartbeats, and copies of state on request.
+"""Communication between VMs: heartbeat datagrams and copies of state over HTTP.
 
-Heartbeats are datagrams. A copy of a collection is fetched over HTTP from a VM
+Heartbeats are sent as datagrams. A copy of a collection is fetched over HTTP from a VM
 that knows a newer change; see `replication`.
 """
 
@@ -28,23 +28,23 @@
 from .speakers import Speakers
 
 HEARTBEAT_S = 0.5
-# News goes to other failure domains with each second heartbeat.
+# Number of heartbeats for each summary that is sent to other failure domains.
 HEARTBEATS_PER_SUMMARY = 2
 MAX_DATAGRAM_BYTES = 60_000
-# Datagrams that are taken in before other tasks have their turn: to decode one
-# takes 0.2 to 0.4 ms with 80 workspaces.
+# Number of datagrams that are handled before other tasks get a turn. Decoding one takes
+# 0.2 to 0.4 ms with 80 workspaces.
 MAX_DATAGRAMS_PER_READ = 16
 STATE_PATH = "/state/"
 REVISION = re.compile(r"after=([0-9]{1,18})")
-# Time for a copy from a VM in another region, some 100 KB before compression.
+# Timeout of a copy from a VM in another region, about 100 KB before compression.
 FETCH_TIMEOUT_S = 1.0
-# A VM with a narrow link may give a large configuration to a whole domain: 500
-# routes that are much alike shrink from 99 to 3.4 KB.
+# A VM with a low-bandwidth link may have to send a large configuration to a whole
+# domain. 500 similar routes shrink from 99 to 3.4 KB.
 COMPRESSION_LEVEL = 1
 
 
 class Peers:
-    """Sends and receives heartbeats.
+    """Sends and receives datagrams between VMs.
 
     Parameters
     ----------
@@ -54,15 +54,17 @@
     port : int
         The same on all VMs.
     make_heartbeat : callable
-        Returns what this VM says of itself now.
+        Returns a heartbeat with this VM's current state.
     on_message : callable
-        Awaited with each message and the IP address that it came from.
+        Awaited with each message and the IP address of its sender.
     log : DecisionLog
 
     Attributes
     ----------
+    seeds : set of str
+        IP addresses to contact while no other VM is known.
     socket : socket.socket or None
-        Bound while `open` is entered.
+        Bound inside the `open` context.
     """
 
     def __init__(
@@ -88,10 +90,10 @@
 
     @contextlib.asynccontextmanager
     async def open(self):
-        """Hold the socket for the length of a block."""
-        # A plain socket that never blocks: one wait and one pass of the scheduler
-        # serve all datagrams at hand, where trio's has one for each, and a VM
-        # sends and takes in some thirty a second.
+        """Open the socket for the duration of the context."""
+        # A plain non-blocking socket needs one wait and one pass of the scheduler for
+        # all datagrams that have arrived. A trio socket needs one for each datagram,
+        # and a VM sends and receives about thirty per second.
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
             sock.setblocking(False)
             sock.bind((self.ip, self.port))
@@ -106,11 +108,14 @@
             await trio.sleep(HEARTBEAT_S)
 
     async def send_now(self, to_far: bool = True):
-        """Send one heartbeat to the own failure domain, and news to the others."""
+        """Send a heartbeat to the own failure domain.
+
+        With `to_far`, a speaker also sends a summary to the other failure domains.
+        """
         self.members.own = self.make_heartbeat()
         ips = {member.ip for member in self.members.near()}
         if to_far and len(self.members.alive()) == 1:
-            # Whoever knows nobody yet asks the VMs that the settings name.
+            # A VM that knows no other VM contacts the seeds in its settings.
             ips |= self.seeds
         self._send_all(self.members.own, ips)
         if to_far:
@@ -120,7 +125,7 @@
         self.relay_summaries()
 
     def relay_summaries(self):
-        """Tell the own failure domain what was heard of others."""
+        """Relay summaries of other domains inside the own failure domain."""
         ips = [member.ip for member in self.members.near()]
         for bundle in self.speakers.take_bundles():
             self._send_all(bundle, ips)
@@ -131,25 +136,26 @@
             self._send(data, ip)
 
     async def send(self, message: Message, ip: str):
-        """Send one message; it may be lost."""
+        """Send one message. Delivery is not guaranteed."""
         self._send(encode(message), ip)
 
     def _send(self, data: bytes, ip: str):
         try:
             self.socket.sendto(data, (ip, self.port))
         except OSError as error:
-            # No route, no listener or a full link; the next may get through.
+            # There is no route, no listener, or the link is full. A later datagram may
+            # get through.
             self.log.event("datagram not sent", to=ip, problem=str(error))
 
     async def receive(self):
-        """Take in messages until cancelled."""
+        """Receive and handle messages until cancelled."""
         while True:
             await trio.lowlevel.wait_readable(self.socket)
             for data, ip in self._read_datagrams():
                 await self.handle_datagram(data, ip)
 
     async def handle_datagram(self, data: bytes, ip: str):
-        """Act on one datagram; `ip` is its sender's."""
+        """Handle one datagram from the VM at an IP address."""
         try:
             message = decode(data)
         except ValueError as error:
@@ -158,14 +164,14 @@
         await self.on_message(message, ip)
 
     def _read_datagrams(self) -> Iterator[tuple[bytes, str]]:
-        """Yield the datagrams that have arrived, and who sent each."""
+        """Yield the datagrams that have arrived and their senders' IP addresses."""
         for _ in range(MAX_DATAGRAMS_PER_READ):
             try:
                 data, (ip, _) = self.socket.recvfrom(MAX_DATAGRAM_BYTES)
             except BlockingIOError:
                 return
             except OSError as error:
-                # An earlier datagram met a closed port; the socket is sound.
+                # An earlier datagram reached a closed port. The socket is still usable.
                 self.log.event("datagram refused", problem=str(error))
                 continue
             yield data, ip
@@ -184,10 +190,10 @@
 async def fetch_state(
     address: str, collection: Collection, after: int
 ) -> Snapshot | Changes:
-    """Return what another VM knows beyond a revision of a collection.
+    """Return the changes of a collection after a revision, from another VM.
 
-    That is its whole copy if it does not keep all changes since. Raises
-    `StoreUnavailable`.
+    If the other VM does not keep all changes since that revision, it returns its whole
+    copy. Raises `StoreUnavailable` if the fetch fails.
     """
     path = f"{STATE_PATH}{collection}?after={after}"
     try:
@@ -215,13 +221,13 @@
 
 
 class StateHandler:
-    """Gives other VMs copies of this one's collections."""
+    """Serves copies of this VM's collections to other VMs."""
 
     def __init__(self, replicas: dict[Collection, Replica]):
         self.replicas = replicas
 
     async def handle(self, exchange: Exchange):
-        """Answer one request for a collection."""
+        """Answer a request for one collection."""
         path, _, query = exchange.request.target.partition("?")
         replica = self.replicas.get(path.removeprefix(STATE_PATH))
         if replica is None or not replica.is_known:
--- a/packages/gateway/plantainshed_gateway/quota.py
+++ b/packages/gateway/plantainshed_gateway/quota.py
@@ -1,34 +1,35 @@
-"""A workspace's rate and burst over all VMs together.
-
-Load that it answers: one workspace sends several times its rate, unevenly over
-VMs, while others stay within theirs and must not be refused.
-
-A quota is counted in windows: in one of `quota_window_s` seconds a workspace
-may send its rate for that long plus its burst, and so in each next one. Each VM
-of them that holds a part (`holders`) runs a token bucket that is filled with a
-share of that, and has at most a part of the tolerance above it; so no window
-sees more than both together. The other VMs ask a holder for each token.
-
-Tokens at hand are divided partly evenly, wholly where few requests are counted, and
-for the rest by share. What a bucket has more than its part, because its callers
-have moved away, goes while others fill theirs.
-
-Shares follow demand: every VM announces what its callers ask for, and all
-compute the same division of it, each with the demand of all, its own too, as it
-was when the oldest of the others' news was sent. Were some of it newer, a demand
-that grows or falls at all VMs would seem to do so at some alone, and all together
-would take more.
-
-A share falls at once and grows only to what it was found to be for
-`SHARE_GROWTH_DELAY_S` and
-the way that news of far domains takes: VMs do not compute with the demand of one
-moment, so that some find a larger share due before others find a smaller one. While
-news is overdue a share stays as it is.
-
-The part of a VM that is not heard stays with it, because it may live behind a
-partition and still use it; so the shares that are in use sum to more than one
-only for as long as a heartbeat takes, and what passes over then lies within the
-unused part of the tolerance.
+"""Rate limiting of workspaces across all VMs.
+
+The load this is designed for: one workspace sends several times its rate, unevenly
+spread over the VMs, while other workspaces stay within theirs and must not be refused.
+
+A quota applies to windows. In any window of `quota_window_s` seconds, a workspace may
+send its rate times that length plus its burst. Each VM that holds a share (see
+`holders`) runs a token bucket that refills at its share of that amount and whose
+capacity is at most a fraction of the tolerance on top of it. Therefore no window admits
+more than the quota plus the tolerance. The other VMs request each token from a holder.
+
+The capacity of the buckets is divided partly evenly and partly in proportion to the
+shares. If the holders count few requests, it is divided entirely evenly. When a
+bucket's capacity shrinks because its callers have moved away, its excess tokens drain
+at the rate at which the other buckets refill.
+
+Shares follow demand. Every VM announces the demand of its callers, and all VMs compute
+the same division from it. Each VM uses the demand of all VMs, including its own, as of
+the time when the oldest current report was sent. If some demand values were newer than
+others, a change that happens on all VMs would appear to happen on only some of them,
+and all VMs together would take too much.
+
+A share decreases immediately. It increases only to the lowest value computed during the
+last `SHARE_GROWTH_DELAY_S` plus the time that a summary from a far failure domain takes
+to arrive. VMs do not all use the demand of the same moment, so some VMs compute a
+larger share before others compute a smaller one. While reports are overdue, a share
+does not change.
+
+A VM that has become silent keeps its share, because it may be alive behind a network
+partition and still use it. The shares in use therefore sum to more than one for no
+longer than a heartbeat takes, and the requests admitted in excess during that time fit
+into the reserved part of the tolerance.
 """
 
 from collections import deque
@@ -46,46 +47,49 @@
 from .round_trips import RoundTrips
 from .settings import Bounds
 
-# Part of a quota that is divided evenly, whatever the demand is: a VM whose
-# callers begin to send gets this at once.
+# Fraction of a quota that is divided evenly regardless of demand. A VM whose callers
+# start to send can use it at once.
 EVEN_FRACTION = 0.15
-# The same where a holder counts fewer requests of a quota in
-# `DEMAND_AVERAGING_S` than this,
-# too few to tell where the next ones come: they then mostly find a token, or one at
+# The even fraction if a holder counts fewer than `LOW_TRAFFIC_REQUESTS` requests of a
+# quota in `DEMAND_AVERAGING_S`. Such counts are too small to predict where the next
+# requests arrive. With a larger even fraction, most requests find a token locally or on
 # a near VM.
 EVEN_FRACTION_LOW_TRAFFIC = 0.5
 LOW_TRAFFIC_REQUESTS = 4.0
-# Used part of the tolerance, as the most tokens at hand on all VMs together.
-# Small workspaces' requests come in clumps: with 6 requests a second over 12
-# VMs, a bucket of one token refused 3.9 % of requests within their quota.
+# Fraction of the tolerance that buckets may hold: the maximum number of tokens on all
+# VMs together. Requests of small workspaces arrive in bursts: at 6 requests a second
+# over 12 VMs, a bucket of one token refused 3.9 % of the requests within the quota.
 USABLE_TOLERANCE = 0.7
-# Most that is left unused, as time at the rate: for shares that sum to more than
-# one, and what these let pass goes with the rate.
+# Maximum reserve of the tolerance, in seconds at the quota's rate. The reserve covers
+# the times when shares sum to more than one, and the excess that this admits is
+# proportional to the rate.
 MAX_RESERVE_S = 0.5
-# Part of the tolerance that VMs which have just started have at hand. Their runs
-# before may have used the whole a moment ago.
+# Fraction of the tolerance in the buckets of a VM that has just started. Its previous
+# run may have used up the whole tolerance just before.
 INITIAL_LEVEL_FRACTION = 1.0 - USABLE_TOLERANCE
-# VMs that this one reckons with before it knows how many there are.
+# Fleet size that a VM assumes until it knows the number of VMs.
 ASSUMED_FLEET_SIZE = 16
-# Time for which a larger share must have been due: news of another domain is said
-# once a second, of heartbeats half a second old, and passed on with a heartbeat.
+# Time for which a larger share must have been due before a VM uses it. Domain summaries
+# are sent once a second, contain heartbeats that are up to half a second old, and are
+# relayed with the next heartbeat.
 SHARE_GROWTH_DELAY_S = 2.0
-# Takes of a bucket that are kept, to tell what a returned token would have filled.
+# Number of withdrawals that a bucket remembers. They are used to compute whether a
+# returned token would have overflowed the bucket.
 MAX_WITHDRAWALS = 256
-# Longest time that a refused caller is told to stay away.
+# Limits of the retry delay that refused callers are given.
 MAX_RETRY_AFTER_S = 2.0
 MIN_RETRY_AFTER_S = 0.3
 
 
 @define
 class _Withdrawal:
-    """A moment at which tokens were taken.
+    """A withdrawal of tokens from a bucket.
 
     Attributes
     ----------
     level : float
-        Tokens that were at hand just before, had those that were returned since
-        never been taken.
+        Tokens in the bucket just before the withdrawal. Tokens that are returned later
+        are added, as if they had never been taken.
     """
 
     at: float
@@ -94,32 +98,33 @@
 
 @define
 class Bucket:
-    """This VM's part of one quota.
+    """Token bucket for this VM's share of one quota.
 
     Attributes
     ----------
     rate : float
-        Requests a second of the whole quota, its burst spread over a window.
+        Requests per second of the whole quota, with its burst spread over one window.
     max_tokens : float
-        Most tokens at hand on all VMs together.
+        Maximum number of tokens in the buckets of all VMs together.
     reserve : float
-        Tokens of the tolerance beyond these.
+        Tokens of the tolerance beyond `max_tokens`.
     share : float
-        Of this VM, from 0 to 1; 0 if it holds no part.
+        Share of this VM, from 0 to 1. It is 0 if this VM is not a holder.
     level : float
-        Tokens at hand here.
+        Tokens in this bucket.
     capacity_fraction : float
-        Of the most tokens, that this VM may have at hand.
+        Fraction of `max_tokens` that this bucket may hold.
     fair_share : float
-        The part that its own callers ask for, whoever holds it.
+        Share that matches the demand of this VM's own callers, even if another VM holds
+        it.
     demand : float
-        Requests a second that all callers ask for.
+        Requests per second from the callers of all VMs.
     due_shares : deque of tuple
-        When which shares were found to be due lately.
+        Recently computed shares and the time of each.
     withdrawals : deque of _Withdrawal
-        The newest, in order.
+        The most recent withdrawals, oldest first.
     borrowed : float
-        Tokens that other VMs lent since the shares were computed last.
+        Tokens borrowed from other VMs since the shares were last computed.
     """
 
     rate: float
@@ -138,11 +143,12 @@
     refilled_at: float = field(factory=trio.current_time)
 
     def refill(self):
-        """Bring the level up to now.
+        """Refill the bucket up to the current time.
 
-        What is above the capacity was filled when the part was larger. It goes as
-        fast as others' shares fill, so that all buckets together never hold more
-        than the most; loans are left to the requests that asked for them.
+        A level above the capacity dates from a time when the capacity was larger. The
+        excess drains at the rate at which the other shares refill, so that all buckets
+        together never hold more than `max_tokens`. Borrowed tokens are excluded from
+        this, because they belong to the requests that needed them.
         """
         now = trio.current_time()
         filled = (now - self.refilled_at) * self.rate
@@ -154,15 +160,16 @@
         self.level = max(least, self.level - filled * (1.0 - self.share))
 
     def take(self, tokens: float):
-        """Take tokens that are at hand."""
+        """Withdraw tokens that are in the bucket."""
         self.withdrawals.append(_Withdrawal(trio.current_time(), self.level))
         self.level -= tokens
 
     def return_token(self, taken_at: float):
-        """Return a token, unless the bucket has been filled in its place.
+        """Return a token unless the bucket has refilled in the meantime.
 
-        Had it not been taken, the bucket would at no time have held more than its
-        capacity; what it would have held then may not be used now.
+        The token is returned only as far as the bucket would not have exceeded its
+        capacity at any time if the token had not been taken. Tokens that would have
+        overflowed must not be used now.
         """
         self.refill()
         later = [
@@ -177,10 +184,11 @@
         self.level += returned
 
     def update_share(self, share: float, holder_count: int, growth_s: float):
-        """Take a share that is due now, or little more than was due lately.
+        """Set the share to the new value, limiting how fast it grows.
 
-        What all holders may take beyond the least that was due is, in `growth_s`,
-        the unused part of the tolerance.
+        The share may exceed the lowest recently due share only by an amount with which
+        all holders together admit no more than the reserve of the tolerance in
+        `growth_s`.
         """
         now = trio.current_time()
         reserve = self.reserve / holder_count
@@ -192,19 +200,22 @@
         self.share = min(share, max(self.share, least))
 
     def update_capacity(self, even: float, even_level: float):
-        """Take a part of the most tokens: so much of it evenly, the rest by share."""
+        """Divide `max_tokens` among the buckets.
+
+        The fraction `even_level` is divided evenly, the rest by share.
+        """
         self.capacity_fraction = even_level * even + (1.0 - even_level) * self.share
 
     @property
     def capacity(self) -> float:
-        """Most tokens at hand here."""
+        """Maximum number of tokens in this bucket."""
         if self.share <= 0:
             return 0.0
         return max(1.0, self.max_tokens * self.capacity_fraction)
 
 
 class Quotas:
-    """This VM's parts of all workspaces' quotas."""
+    """Token buckets for this VM's shares of all workspaces' quotas."""
 
     def __init__(self, members: Members, bounds: Bounds, round_trips: RoundTrips):
         self.members = members
@@ -217,14 +228,20 @@
         self.buckets: dict[str, Bucket] = {}
 
     def admit(self, workspace: Workspace) -> float | None:
-        """Take one request; return None, or the seconds until one fits."""
+        """Count and admit one request.
+
+        Returns None if a token was available, else the seconds until one will be.
+        """
         if workspace.rate_per_s <= 0:
             return None
         self.demands.setdefault(workspace.name, Demand()).add()
         return self.take_token(workspace)
 
     def take_token(self, workspace: Workspace) -> float | None:
-        """Take a token; return None, or the seconds until there is one."""
+        """Take a token without counting a request.
+
+        Returns None if a token was available, else the seconds until one will be.
+        """
         bucket = self._bucket(workspace)
         bucket.refill()
         if bucket.level >= 1.0:
@@ -235,7 +252,7 @@
         return min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, missing_s))
 
     def add(self, name: str, tokens: float):
-        """Add borrowed tokens; they may exceed what this VM holds itself."""
+        """Add borrowed tokens. The level may then exceed this VM's capacity."""
         bucket = self.buckets.get(name)
         if bucket is not None:
             bucket.refill()
@@ -243,7 +260,7 @@
             bucket.borrowed += tokens
 
     def has_token(self, name: str) -> bool:
-        """Tell whether the next request finds a token."""
+        """Return whether a token is available for the next request."""
         bucket = self.buckets.get(name)
         if bucket is None:
             return False
@@ -251,18 +268,19 @@
         return bucket.level >= 1.0
 
     def is_exhausted(self, name: str) -> bool:
-        """Tell whether callers ask for more than the whole quota.
+        """Return whether the total demand exceeds the quota.
 
-        Tokens of other VMs are then used by their own callers.
+        The other VMs then need their tokens for their own callers.
         """
         bucket = self.buckets.get(name)
         return bucket is not None and bucket.demand > bucket.rate
 
     def prefetch_amount(self, name: str, seconds: float) -> float:
-        """Return how many tokens to ask for, so that some are left after a time.
+        """Return how many tokens to request so that the bucket does not run empty.
 
-        Never more than this VM may have at hand by its share: all VMs together
-        then have no more at hand than without.
+        The result is 0 if the bucket covers the demand of the given time. It never
+        exceeds this VM's free capacity, so prefetching does not increase the number of
+        tokens on all VMs together.
         """
         bucket, demand = self.buckets.get(name), self.demands.get(name)
         if bucket is None or demand is None:
@@ -274,7 +292,10 @@
         return float(int(bucket.capacity - bucket.level))
 
     def take_for_loan(self, name: str, reserved: float, max_tokens: float) -> float:
-        """Take tokens that this VM can spare; return how many."""
+        """Withdraw tokens to lend to another VM.
+
+        Returns the number of tokens. At least `reserved` tokens stay in the bucket.
+        """
         workspace = self.workspaces.get(name)
         if workspace is None:
             return 0.0
@@ -286,7 +307,7 @@
         return tokens
 
     def return_token(self, workspace: Workspace, taken_at: float):
-        """Return the token of a request that certainly did not run."""
+        """Return the token of a request that is known not to have run."""
         bucket = self.buckets.get(workspace.name)
         if bucket is not None:
             bucket.return_token(taken_at)
@@ -302,18 +323,19 @@
                     workspace.name, (max_tokens + reserve) * share
                 )
             bucket = Bucket(rate, max_tokens, reserve, share, level, share)
-            # Others' first news tells no demand yet, and seems to leave all to it.
+            # The first reports of other VMs contain no demand yet, so the whole quota
+            # would seem to be due to this VM.
             bucket.due_shares.append((trio.current_time(), share))
             self.buckets[workspace.name] = bucket
         bucket.rate, bucket.max_tokens, bucket.reserve = rate, max_tokens, reserve
         return bucket
 
     def _initial_level(self, name: str, tolerance: float) -> float:
-        """Return the tokens of a VM that has just started.
+        """Return the number of tokens in a bucket when this VM starts.
 
-        The run before it may have used all that it had a moment ago. Each VM begins
-        with another fraction of a token, so that all together fill whole tokens
-        evenly and not each its first at the same time.
+        The previous run of this VM may have used all its tokens just before. Each VM
+        starts with a different fraction of a token, so that whole tokens become
+        available on different VMs evenly over time rather than on all at once.
         """
         return tolerance * INITIAL_LEVEL_FRACTION + unit_hash(self.holders.own, name)
 
@@ -323,7 +345,7 @@
         return count if self.members.is_listed else max(count, ASSUMED_FLEET_SIZE)
 
     def _limits_of(self, workspace: Workspace) -> tuple[float, float, float]:
-        """Return a workspace's rate, the most tokens at hand and those unused."""
+        """Return a workspace's rate, maximum number of tokens, and reserve."""
         window_s = self.bounds.quota_window_s
         in_window = workspace.rate_per_s * window_s + workspace.burst
         tolerance = in_window * self.bounds.quota_over + self.bounds.quota_slack
@@ -332,12 +354,13 @@
         return rate, tolerance - reserve, reserve
 
     def recompute_shares(self):
-        """Compute this VM's share of each quota anew."""
+        """Recompute this VM's share of each quota."""
         self.holders.refresh()
         moment = self.members.oldest_heard_at()
         view = self.members.usage_view(moment)
         for name, workspace in self.workspaces.items():
-            # It fills before the first request comes, here or at a VM that asks.
+            # The bucket starts to refill before the first request arrives, here or at a
+            # VM that borrows from this one.
             if workspace.rate_per_s > 0 and self.holders.is_holder(name):
                 self._bucket(workspace)
         own = self._announced.at(moment)
@@ -346,8 +369,9 @@
         heard_fraction = self._heard_fraction()
         is_some_silent = self.members.heard_count() > len(self.members.alive())
         growth_s = SHARE_GROWTH_DELAY_S + self.round_trips.longest_s() / 2
-        # While news is overdue somebody may be cut off, or this VM is: the others
-        # would not know what it takes now, nor leave it to it.
+        # While reports are overdue, another VM or this one may be partitioned. The
+        # other VMs then do not know this VM's current share and do not reduce theirs to
+        # match it.
         is_overdue = moment < trio.current_time() - growth_s
         for name, bucket in self.buckets.items():
             bucket.refill()
@@ -362,16 +386,17 @@
                 continue
             local_demand = own_demand + self._demand_of_non_holders(name, view)
             if not is_own_known:
-                # What a VM that has just started counted is of another moment.
+                # A VM that has just started has counted its demand at a different
+                # moment.
                 local_demand = total_demand = 0.0
             counted = bucket.rate * DEMAND_AVERAGING_S / holder_count
             low_traffic = LOW_TRAFFIC_REQUESTS / max(counted, LOW_TRAFFIC_REQUESTS)
-            even_part = max(EVEN_FRACTION, EVEN_FRACTION_LOW_TRAFFIC * low_traffic)
+            even_fraction = max(EVEN_FRACTION, EVEN_FRACTION_LOW_TRAFFIC * low_traffic)
             divisible = heard_fraction
             if is_some_silent:
                 divisible *= _divisible_share(bucket.share, totals)
             target_share = (
-                _target_share(local_demand, total_demand, holder_count, even_part)
+                _target_share(local_demand, total_demand, holder_count, even_fraction)
                 * divisible
             )
             if is_overdue:
@@ -382,7 +407,7 @@
             )
 
     def _demand_of_non_holders(self, name: str, view: UsageView) -> float:
-        """Return what VMs ask for that hold no part and come to this one."""
+        """Return the demand of VMs that are not holders and ask this VM first."""
         holders = self.holders.of(name)
         return sum(
             past.of(name)
@@ -392,10 +417,11 @@
         )
 
     def _heard_fraction(self) -> float:
-        """Return what VMs that were heard may divide among them.
+        """Return the fraction of a quota that VMs heard so far may divide.
 
-        When all VMs start at once, each hears the others one by one. An even
-        part is left for those that were listed and not heard yet.
+        When all VMs start at once, each receives the first heartbeats of the others one
+        after the other. An even share is set aside for each VM that was listed and has
+        not been heard yet.
         """
         heard = self.members.heard_count()
         if not self.members.is_listed:
@@ -403,13 +429,13 @@
         return heard / (heard + self.members.not_heard_yet())
 
     def usage(self) -> dict[str, QuotaUsage]:
-        """Return what this VM tells others now."""
+        """Return the quota usage that this VM announces."""
         for demand in self.demands.values():
             demand.decay()
         rates = {name: round(demand.rate, 2) for name, demand in self.demands.items()}
-        self._announced.note(trio.current_time(), rates)
-        # What is neither asked for nor held here need not be told: with 80 VMs
-        # and 80 workspaces that is more than half.
+        self._announced.add(trio.current_time(), rates)
+        # Workspaces without demand or share on this VM are omitted. With 80 VMs and 80
+        # workspaces, that is more than half of them.
         return {
             name: QuotaUsage(
                 rates.get(name, 0.0), round(bucket.share, 4), round(bucket.level, 1)
@@ -420,25 +446,26 @@
 
 
 def _target_share(
-    demand: float, total_demand: float, holder_count: int, even_part: float
+    demand: float, total_demand: float, holder_count: int, even_fraction: float
 ) -> float:
-    """Return a holder's part of what all that are alive may use.
+    """Return a holder's share of the part of a quota that live VMs may use.
 
-    Demand of less than a request at each holder counts as evenly spread for the
-    rest: the first few after a start don't tell where the next ones come.
+    If the total demand is less than one request per holder in `DEMAND_AVERAGING_S`, the
+    missing part counts as evenly spread. The first few requests after a start do not
+    predict where the next ones arrive.
     """
     even = 1.0 / holder_count
     counted = max(total_demand, holder_count / DEMAND_AVERAGING_S)
     by_demand = (demand + (counted - total_demand) * even) / counted
-    return even_part * even + (1.0 - even_part) * by_demand
+    return even_fraction * even + (1.0 - even_fraction) * by_demand
 
 
 def _divisible_share(own_share: float, totals: UsageTotals) -> float:
-    """Return what VMs that are alive divide while others are silent.
+    """Return the part of a quota that live VMs divide while others are silent.
 
-    What silent VMs hold stays theirs. The others divide what they hold
-    together: that and what silent ones said last may sum to less than one, and
-    if each VM of a fleet that hears nobody took the missing part, the fleet
-    would use it as many times as it has VMs.
+    Silent VMs keep their shares. The live VMs divide only the sum of their own current
+    shares. That sum and the last announced shares of the silent VMs may add up to less
+    than one. If each VM of a fully partitioned fleet took the missing part, the fleet
+    would use it once per VM.
     """
     return max(0.0, min(own_share + totals.share, 1.0 - totals.silent_share))
--- a/packages/gateway/plantainshed_gateway/round_trips.py
+++ b/packages/gateway/plantainshed_gateway/round_trips.py
@@ -1,7 +1,7 @@
-"""How long a message to another failure domain and back takes.
+"""Round-trip times from this VM to failure domains.
 
-It is observed from what passes anyway: connections that are opened to targets,
-and questions that other VMs answer. Waits that depend on distance follow it.
+They are measured on existing traffic: connections to targets, and token requests that
+other VMs answer. Timeouts that depend on distance are derived from them.
 """
 
 from collections import deque
@@ -10,16 +10,17 @@
 
 from .logs import DecisionLog
 
-# Newest measurements that count. The shortest of them leaves out those that met a
-# lost packet, which is sent again after a second, or waited for a processor.
+# Number of recent samples. The shortest of them is used, which excludes samples that
+# include the retransmission of a lost packet after a second, or a wait for a processor.
 MAX_SAMPLES = 15
-# Round trip that is assumed to a domain before anything was measured.
+# Round trip that is assumed to a domain without samples.
 DEFAULT_ROUND_TRIP_S = 0.2
-# A wait for an answer: round trips, and what a busy VM takes to answer.
+# Time to wait for an answer: a number of round trips plus the processing time of a busy
+# VM, up to a maximum.
 WAIT_ROUND_TRIPS = 2.0
 PROCESSING_S = 0.03
 MAX_WAIT_S = 0.8
-# A round trip that changed by this factor since it was told last is told again.
+# A round trip is logged again once it has changed by this factor.
 LOG_CHANGE_FACTOR = 1.5
 
 
@@ -31,12 +32,12 @@
 
 
 class RoundTrips:
-    """Round trips from this VM to failure domains.
+    """Measured round trips from this VM to failure domains.
 
     Parameters
     ----------
     region_of : dict of str to str
-        By failure domain.
+        Region of each failure domain.
     log : DecisionLog
     """
 
@@ -46,7 +47,7 @@
         self._samples: dict[str, _Samples] = {}
 
     def record(self, failure_domain: str, seconds: float):
-        """Take in one round trip."""
+        """Record one measured round trip."""
         samples = self._samples.setdefault(failure_domain, _Samples())
         samples.recent.append(seconds)
         samples.shortest_s = min(samples.recent)
@@ -65,13 +66,14 @@
             )
 
     def is_measured(self, failure_domain: str) -> bool:
-        """Tell whether anything was measured to a domain."""
+        """Return whether a round trip to a domain has been measured."""
         return failure_domain in self._samples
 
     def known_s(self, failure_domain: str) -> float | None:
-        """Return the usual round trip; None if nothing was measured.
+        """Return the usual round trip, or None if there are no samples.
 
-        A domain of which nothing was measured is as far as its region's others.
+        For a domain without samples, this is the shortest one to its region's other
+        domains.
         """
         samples = self._samples.get(failure_domain)
         if samples is not None:
@@ -85,19 +87,19 @@
         return min(near) if near else None
 
     def estimate_s(self, failure_domain: str) -> float:
-        """Return the usual round trip, or one that is rather too long."""
+        """Return the usual round trip, or a high default without samples."""
         known = self.known_s(failure_domain)
         return DEFAULT_ROUND_TRIP_S if known is None else known
 
     def wait_s(self, failure_domain: str) -> float:
-        """Return how long to wait for an answer of a VM or target there."""
+        """Return how long to wait for an answer from a VM or target in a domain."""
         expected = WAIT_ROUND_TRIPS * self.estimate_s(failure_domain)
         return min(MAX_WAIT_S, expected + PROCESSING_S)
 
     def longest_s(self) -> float:
-        """Return the longest usual round trip; 0 if nothing was measured."""
+        """Return the longest usual round trip, or 0 without samples."""
         return max((m.shortest_s for m in self._samples.values()), default=0.0)
 
     def by_domain(self) -> dict[str, float]:
-        """Return the usual round trip to each domain that was measured."""
+        """Return the usual round trip to each measured domain."""
         return {domain: m.shortest_s for domain, m in self._samples.items()}
--- a/packages/gateway/plantainshed_gateway/speakers.py
+++ b/packages/gateway/plantainshed_gateway/speakers.py
@@ -1,13 +1,14 @@
-"""Which VMs speak for their failure domain, to whom, and what they say.
+"""Exchange of summaries between failure domains by elected speakers.
 
-Load that it answers: a fleet where each VM tells each other one everything.
-With 80 VMs and 80 workspaces that was 100 datagrams a second and VM, 2 Mbit/s
-each way, and four fifths of all bytes between regions. Here two VMs of each domain
-exchange summaries with two of each other domain and pass them on inside.
+The load this is designed for: a fleet in which each VM would send everything to each
+other VM. With 80 VMs and 80 workspaces, that was 100 datagrams per second and VM, 2
+Mbit/s in each direction, and four fifths of all bytes between regions. Instead, two VMs
+of each domain exchange summaries with two VMs of each other domain and relay them
+inside their own.
 
-All VMs compute the same speakers from who is alive, preferring those with wide
-links. Two speak, each to its counterpart by rank, so that one lost or paused VM
-makes no domain silent.
+All VMs compute the same speakers from the set of live VMs, with a preference for VMs
+with high link bandwidth. There are two speakers, and each sends to the speaker of the
+same rank in the other domain, so a single lost or paused VM does not silence a domain.
 """
 
 import itertools
@@ -27,10 +28,10 @@
 )
 from .members import Member, Members, UsageSums
 
-# VMs of a failure domain that speak for it.
+# Number of speakers of a failure domain.
 SPEAKERS_PER_DOMAIN = 2
-# News in one datagram that is passed on. 8 domains of 50 VMs and 80 workspaces
-# are some 50 KB, 15 KB compressed, of the 60 KB that a datagram may have.
+# Number of summaries in one relayed datagram. 8 domains of 50 VMs and 80 workspaces
+# take about 50 KB, or 15 KB compressed; a datagram may have 60 KB.
 SUMMARIES_PER_BUNDLE = 8
 
 
@@ -41,7 +42,7 @@
 
 
 class Speakers:
-    """This VM's part in telling failure domains about each other.
+    """Elects speakers and builds the summaries that they exchange.
 
     Parameters
     ----------
@@ -56,7 +57,7 @@
         self._leaving: dict[str, set[str]] = {}
 
     def names(self) -> list[str]:
-        """Return the VMs that speak for this VM's failure domain."""
+        """Return the names of the speakers of this VM's failure domain."""
         own = self.members.own
         alive = [m.heartbeat for m in self.members.near() if _is_candidate(m)]
         candidates = [own, *alive] if own.state is not VmState.LEAVING else alive
@@ -64,13 +65,13 @@
 
     @property
     def is_speaker(self) -> bool:
-        """Whether this VM speaks for its failure domain."""
+        """Whether this VM is a speaker of its failure domain."""
         return self.members.own.vm in self.names()
 
     def can_reach_store(self) -> bool:
-        """Tell whether other VMs watch the store for this one.
+        """Return whether another VM watches the store on behalf of this one.
 
-        They do if they speak for the failure domain and the store answers them.
+        That is the case if this VM is not a speaker and the store answers a speaker.
         """
         names = self.names()
         if self.members.own.vm in names:
@@ -79,7 +80,11 @@
         return any(table[name].heartbeat.is_store_reachable for name in names)
 
     def is_first_to_reach_store(self) -> bool:
-        """Tell whether no VM that speaks before this one hears from the store."""
+        """Return whether this VM should use the store for its failure domain.
+
+        That is the case if it is a speaker and the store answers no speaker ranked
+        before it.
+        """
         for name in self.names():
             if name == self.members.own.vm:
                 return True
@@ -88,7 +93,7 @@
         return False
 
     def receivers(self) -> list[str]:
-        """Return the IP addresses that this VM's news goes to, one a domain."""
+        """Return the IP addresses to send summaries to, one per other domain."""
         own = self.members.own
         names = self.names()
         if own.vm not in names:
@@ -106,19 +111,19 @@
     def _counterpart(self, domain: str, members: list[Member], rank: int) -> str:
         alive = [m for m in members if _is_candidate(m)]
         if not alive:
-            # Nothing is known of that domain: its VMs are told by turns, and
-            # whoever gets it passes it on.
+            # No VM of that domain is known to be alive. Its VMs are tried in turn, and
+            # the one that receives the summary relays it.
             return members[self._turn % len(members)].ip
         order = _ranked(domain, [m.heartbeat for m in alive])
         name = order[min(rank, len(order) - 1)]
         return self.members.table[name].ip
 
     def make_summary(self) -> DomainSummary:
-        """Return this VM's failure domain's news."""
+        """Return a summary of this VM's failure domain."""
         own = self.members.own
         near = self.members.near()
         now = trio.current_time()
-        # This VM among the others, as they see it.
+        # This VM is included in the form in which the others see it.
         itself = Member(_ip_of(own), own.failure_domain, own, now)
         known = [itself, *(m for m in near if m.heartbeat is not None)]
         ages = [now - member.heard_at for member in known if member.is_alive]
@@ -139,15 +144,15 @@
         )
 
     def queue_for_relay(self, summary: DomainSummary):
-        """Keep another domain's news until it is passed on inside this one."""
+        """Queue another domain's summary to be relayed inside this domain."""
         self._relay_queue[summary.failure_domain] = _QueuedSummary(
             summary, trio.current_time()
         )
 
     def is_urgent(self, summary: DomainSummary) -> bool:
-        """Tell whether news names a VM that has begun to leave.
+        """Return whether a summary contains a VM that has just begun to leave.
 
-        Look-ups that go on naming it send callers to a VM about to end.
+        Look-ups that still return it would send callers to a VM that is about to stop.
         """
         leaving = {vm.vm for vm in summary.vms if vm.state is VmState.LEAVING}
         before = self._leaving.get(summary.failure_domain, set())
@@ -155,7 +160,7 @@
         return bool(leaving - before)
 
     def take_bundles(self) -> list[SummaryBundle]:
-        """Return what is to be passed on now; it is not returned again."""
+        """Return the queued summaries in bundles and clear the queue."""
         now = trio.current_time()
         summaries = [
             _with_age_added(h.summary, now - h.heard_at)
@@ -174,8 +179,9 @@
 
 
 def _ranked(domain: str, beats: list[Heartbeat]) -> list[str]:
-    # Squared: of 14 VMs, two with 200 and twelve with 10 Mbit/s, a narrow one is
-    # then among the first two in 5 % of domains, in place of half (4000 drawn).
+    # Squaring the weight keeps VMs with low bandwidth from being elected. Among 14 VMs,
+    # two with 200 and twelve with 10 Mbit/s, a low-bandwidth VM is one of the first two
+    # in 5 % of domains instead of half of them (4000 drawn).
     scored = [(weighted_score(domain, b.vm, b.weight**2), b.vm) for b in beats]
     return [vm for _, vm in sorted(scored, reverse=True)]
 
@@ -205,7 +211,7 @@
 
 
 def _with_age_added(summary: DomainSummary, seconds: float) -> DomainSummary:
-    """Return news as it is to be told so much later."""
+    """Return a summary with its ages increased by the given time."""
     if seconds < 0.01:
         return summary
     vms = tuple(evolve(vm, age_s=round(vm.age_s + seconds, 2)) for vm in summary.vms)
