--- a/tests/gateway/fleet_support.py
+++ b/tests/gateway/fleet_support.py
@@ -1,4 +1,4 @@
-"""A fleet of VMs in failure domains that tell each other news, without sockets."""
+"""A fleet of VMs in failure domains that exchange summaries without sockets."""
 
 from collections import Counter
 
@@ -12,7 +12,7 @@
 
 
 class GossipVm:
-    """One VM's members, quotas and part in spreading news."""
+    """One VM's members, quotas, and speakers."""
 
     def __init__(self, name: str, ip: str, domain: str, incarnation=1, weight=100.0):
         self.name, self.ip, self.domain = name, ip, domain
@@ -20,11 +20,11 @@
         self.weight = weight
         self.number = 0
         self.state = VmState.READY
-        self.members = Members(self.beat())
+        self.members = Members(self.make_own_heartbeat())
         self.quotas = Quotas(self.members, BOUNDS, make_round_trips())
         self.speakers = Speakers(self.members)
 
-    def beat(self, usage=None):
+    def make_own_heartbeat(self, usage=None):
         self.number += 1
         return make_heartbeat(
             self.name,
@@ -41,7 +41,7 @@
 
 
 class GossipFleet:
-    """All VMs, and what passes between them.
+    """All VMs and the messages between them.
 
     Parameters
     ----------
@@ -55,7 +55,7 @@
         self.sent_bytes = Counter()
         self.far_bytes = 0
         self.ticks = 0
-        # News of other domains that arrives with the next tick only.
+        # Whether messages to other domains arrive only with the next tick.
         self.is_far_late = False
         self.late: list[tuple] = []
         self.is_cut = lambda sender, receiver: False
@@ -71,13 +71,13 @@
                 vm.members.note_listed(other.name, other.ip, other.domain)
 
     def tick(self):
-        """Half a second's heartbeats; each second time with news."""
+        """Send one round of heartbeats, and summaries every second time."""
         self.ticks += 1
         late, self.late = self.late, []
         for sender, ip, message in late:
             self.deliver(sender, ip, message)
         for vm in list(self.vms.values()):
-            vm.members.own = vm.beat(vm.quotas.usage())
+            vm.members.own = vm.make_own_heartbeat(vm.quotas.usage())
             for member in vm.members.near():
                 self.send(vm, member.ip, vm.members.own)
         for vm in list(self.vms.values()):
@@ -106,7 +106,7 @@
         self.deliver(sender, ip, message)
 
     def deliver(self, sender: GossipVm, ip: str, message):
-        """Hand a message to its receiver."""
+        """Deliver a message to its receiver."""
         receiver, data = self.vms[ip], encode(message)
         if sender.domain.partition("-")[0] != receiver.domain.partition("-")[0]:
             self.far_bytes += len(data)
--- a/tests/gateway/linked_fleet.py
+++ b/tests/gateway/linked_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet whose VMs really send: heartbeats, news and loans over links with delays."""
+"""A fleet whose VMs send heartbeats, summaries, and loans over links with latency."""
 
 import io
 import random
@@ -26,7 +26,7 @@
 
 
 class LinkedPeers(Peers):
-    """Peers whose datagrams go over the fleet's links in place of a socket."""
+    """Peers whose datagrams use the fleet's simulated links instead of a socket."""
 
     def __init__(self, fleet: "LinkedFleet", *rest):
         super().__init__(*rest)
@@ -37,7 +37,7 @@
 
 
 class LinkedVm:
-    """One VM's parts that quotas rest on."""
+    """The components of one VM that quotas depend on."""
 
     def __init__(self, fleet: "LinkedFleet", ip: str, domain: str, incarnation: int):
         self.fleet, self.ip, self.domain = fleet, ip, domain
@@ -45,7 +45,7 @@
         self.incarnation = incarnation
         self.number = 0
         log = DecisionLog(self.name, domain, io.StringIO())
-        self.members = Members(self.beat({}))
+        self.members = Members(self.make_own_heartbeat({}))
         self.speakers = Speakers(self.members)
         self.round_trips = RoundTrips(fleet.region_of, log)
         self.quotas = Quotas(self.members, BOUNDS, self.round_trips)
@@ -56,7 +56,7 @@
             self.speakers,
             ip,
             1,
-            lambda: self.beat(self.quotas.usage()),
+            lambda: self.make_own_heartbeat(self.quotas.usage()),
             self.take,
             log,
         )
@@ -68,7 +68,7 @@
             if fleet.region_of[domain] != fleet.region_of[self.domain]:
                 self.round_trips.record(domain, 2 * fleet.one_way_s)
 
-    def beat(self, usage):
+    def make_own_heartbeat(self, usage):
         self.number += 1
         return make_heartbeat(
             self.name,
@@ -88,7 +88,7 @@
         await self.messages.handle(message, ip)
 
     async def run(self, after_s: float):
-        """Send heartbeats and divide, as a gateway does, until cancelled."""
+        """Send heartbeats and recompute shares, like a gateway, until cancelled."""
         await trio.sleep(after_s)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.peers.send_heartbeats)
@@ -101,16 +101,16 @@
 
 
 class LinkedFleet:
-    """All VMs, the links between them, and what they let through.
+    """All VMs, the links between them, and the requests they admit.
 
     Parameters
     ----------
     domains : dict of str to int
-        Number of VMs by failure domain, whose names begin with a region's.
+        Number of VMs by failure domain. Each name begins with the region's name.
     workspace : Workspace
     nursery : trio.Nursery
     one_way_s : float
-        Between regions.
+        Latency between regions.
     """
 
     def __init__(
@@ -151,7 +151,7 @@
             await vm.run(after_s)
 
     def restart(self, ip: str):
-        """Replace a VM's run by a new one that knows nothing."""
+        """Restart a VM with empty state."""
         self.scopes[ip].cancel()
         old = self.vms[ip]
         self.vms[ip] = LinkedVm(self, ip, old.domain, old.incarnation + 1)
@@ -172,7 +172,7 @@
             await self.vms[ip].take(decode(data), sender)
 
     async def request(self, vm: LinkedVm):
-        """Admit one request as the gateway does."""
+        """Admit one request in the same way as the gateway."""
         self.asked += 1
         wait_s = vm.quotas.admit(self.workspace)
         if wait_s is not None:
@@ -185,22 +185,22 @@
             self.refused += 1
 
     async def play(self, seconds: float, rate, at=None):
-        """Play `rate` requests a second in all, at VMs given by `at`."""
+        """Generate `rate` requests per second in total on the VMs given by `at`."""
         ips = at or list(self.vms)
         for _ in range(round(seconds / STEP_S)):
-            for _ in range(self.drawn(rate * STEP_S)):
+            for _ in range(self.random_round(rate * STEP_S)):
                 vm = self.vms[self.rng.choice(ips)]
                 self.nursery.start_soon(self.request, vm)
             await trio.sleep(STEP_S)
 
-    def drawn(self, mean: float) -> int:
+    def random_round(self, mean: float) -> int:
         whole, rest = divmod(mean, 1.0)
         return int(whole) + (self.rng.random() < rest)
 
-    # What is looked at.
+    # Measurements.
 
     def tokens(self) -> float:
-        """Return the tokens at hand on all VMs."""
+        """Return the number of tokens on all VMs."""
         buckets = [vm.quotas.buckets.get(self.workspace.name) for vm in self.all()]
         buckets = [bucket for bucket in buckets if bucket is not None]
         for bucket in buckets:
@@ -231,5 +231,5 @@
 
     @property
     def used(self) -> float:
-        """Return the highest window as a part of what is allowed."""
+        """Return the fullest window as a fraction of what is allowed."""
         return self.most_in_window() / self.allowed
--- a/tests/gateway/test_far_loans.py
+++ b/tests/gateway/test_far_loans.py
@@ -17,7 +17,7 @@
 
 
 class FarFleet:
-    """VMs in three regions that lend to each other over a network with a delay."""
+    """VMs in three regions that lend to each other over a network with latency."""
 
     def __init__(self, one_way_s: float, nursery: trio.Nursery, workspace=SMALL):
         self.one_way_s = one_way_s
@@ -26,7 +26,7 @@
         self.gossip = GossipFleet(DOMAINS)
         self.vms = list(self.gossip.vms.values())
         self.loans = {}
-        self.more_s = lambda message: 0.0
+        self.extra_delay_s = lambda message: 0.0
         for ip, vm in self.gossip.vms.items():
             vm.quotas.workspaces = {workspace.name: workspace}
             self.loans[ip] = Loans(
@@ -45,7 +45,9 @@
 
     async def deliver(self, message, own_ip, ip):
         is_far = self.region_of(own_ip) != self.region_of(ip)
-        await trio.sleep((self.one_way_s if is_far else 0.0003) + self.more_s(message))
+        await trio.sleep(
+            (self.one_way_s if is_far else 0.0003) + self.extra_delay_s(message)
+        )
         if isinstance(message, TokenRequest):
             await self.loans[ip].on_request(message, own_ip)
         elif isinstance(message, TokenLoan):
@@ -55,7 +57,7 @@
         return self.gossip.vms[ip].domain.partition("-")[0]
 
     async def request(self, vm):
-        """Admit one request as the gateway does."""
+        """Admit one request in the same way as the gateway."""
         began_at = trio.current_time()
         self.asked += 1
         wait_s = vm.quotas.admit(self.workspace)
@@ -70,7 +72,7 @@
         self.waits.append(trio.current_time() - began_at)
 
     async def play(self, seconds: float, rate: float, seed=3):
-        """Play a load of `rate` requests a second in all, at any VM."""
+        """Generate a total load of `rate` requests per second on random VMs."""
         rng = random.Random(seed)
         for step in range(int(seconds / STEP_S)):
             if step % 50 == 0:
@@ -92,10 +94,10 @@
     return in_window * (1 + BOUNDS.quota_over) + BOUNDS.quota_slack
 
 
-class TestLoansOverADistance(unittest.TestCase):
+class TestLoansBetweenRegions(unittest.TestCase):
     @on_mock_clock
     async def test_small_workspace_within_its_rate_is_not_refused(self):
-        """Guards against waits for loans that are shorter than the network's."""
+        """Guards against loan timeouts shorter than the network's round trip."""
         for one_way_s in ONE_WAYS_S:
             asked = refused = 0
             for seed in range(4):
@@ -111,7 +113,7 @@
 
     @on_mock_clock
     async def test_few_requests_wait_for_a_far_loan(self):
-        """Guards against a round trip between regions for each clump of requests."""
+        """Guards against a round trip between regions for each burst of requests."""
         async with trio.open_nursery() as nursery:
             fleet = FarFleet(0.055, nursery)
             await fleet.play(12, 0.0)
@@ -121,8 +123,8 @@
         self.assertLess(waited / len(fleet.waits), 0.05)
 
     @on_mock_clock
-    async def test_no_request_of_a_workspace_over_its_rate_waits(self):
-        """Guards against answers made late by tokens that move for nothing."""
+    async def test_requests_of_a_workspace_over_its_rate_do_not_wait(self):
+        """Guards against answers delayed by borrowing that cannot help."""
         async with trio.open_nursery() as nursery:
             fleet = FarFleet(0.055, nursery)
             await fleet.play(12, 0.0)
@@ -136,11 +138,11 @@
         self.assertGreater(used, 1.1)
 
     @on_mock_clock
-    async def test_no_window_sees_more_than_the_quota(self):
-        """Guards against loans that are counted twice, also late ones.
+    async def test_no_window_exceeds_the_quota(self):
+        """Guards against loans that are counted twice, including late ones.
 
-        The load steps to several times the rate: a workspace that few requests
-        are counted of got more than its quota even without loans.
+        The load steps to several times the rate. A workspace with a low request count
+        got more than its quota even without loans.
         """
         workspaces = [
             Workspace(f"of-{rate}", rate_per_s=rate, burst=rate)
@@ -151,7 +153,7 @@
                 rng = random.Random(7)
                 async with trio.open_nursery() as nursery:
                     fleet = FarFleet(one_way_s, nursery, workspace)
-                    fleet.more_s = lambda message, rng=rng: (
+                    fleet.extra_delay_s = lambda message, rng=rng: (
                         0.7 if rng.random() < 0.1 else 0.0
                     )
                     await fleet.play(12, workspace.rate_per_s / 4)
@@ -162,7 +164,7 @@
 
 class TestLateLoans(unittest.TestCase):
     async def tokens_of_late_loans(self, late_s: float) -> float:
-        """Return the tokens that a VM got by loans that all came late."""
+        """Return the tokens that a VM received from loans that all arrived late."""
         got = 0.0
         async with trio.open_nursery() as nursery:
             fleet = FarFleet(0.055, nursery)
@@ -171,7 +173,7 @@
             loans, bucket = fleet.loans[vm.ip], vm.quotas.buckets[SMALL.name]
             while vm.quotas.admit(SMALL) is None:
                 pass
-            fleet.more_s = lambda message: (
+            fleet.extra_delay_s = lambda message: (
                 late_s if isinstance(message, TokenLoan) else 0.0
             )
             take_loan = loans.on_loan
@@ -188,11 +190,11 @@
         return got
 
     @on_mock_clock
-    async def test_loan_that_comes_late_is_kept(self):
-        """Guards against tokens that are lost when an answer takes too long."""
+    async def test_late_loan_is_kept(self):
+        """Guards against losing tokens when an answer takes too long."""
         self.assertGreaterEqual(await self.tokens_of_late_loans(0.9), 1.0)
 
     @on_mock_clock
-    async def test_loan_that_comes_far_too_late_is_not_used(self):
-        """Guards against a paused VM that spends tokens refilled elsewhere."""
+    async def test_expired_loan_is_not_used(self):
+        """Guards against a paused VM that uses tokens refilled elsewhere."""
         self.assertEqual(await self.tokens_of_late_loans(4.0), 0.0)
--- a/tests/gateway/test_far_regions.py
+++ b/tests/gateway/test_far_regions.py
@@ -26,10 +26,10 @@
 
 
 class TestOwnersInFarRegions(unittest.TestCase):
-    """Callers in three regions, 110 ms there and back, want answers in 400 ms.
+    """Callers in three regions, 110 ms round trip, expect answers within 400 ms.
 
-    One owner in the whole fleet left too little time for a queue, and two thirds
-    of all answers crossed between regions.
+    With one owner in the whole fleet, too little time remained for queueing, and two
+    thirds of all answers crossed between regions.
     """
 
     def test_more_answers_are_in_time_and_fewer_cross(self):
@@ -43,19 +43,21 @@
         self.assertLess(chosen["crossed"], 0.6 * figures["one-owner"]["crossed"])
 
     def test_near_regions_keep_one_owner(self):
-        """Guards against copies in each region that short distances don't pay for."""
+        """Guards against copies in each region when distances are too short to need
+        them.
+        """
         fleet = play("chosen", NEAR_S, 30)
         copies = sum(len(target.remembered) for target in fleet.targets.values())
         self.assertLessEqual(copies, 1.3 * WORLD.objects)
 
     @on_mock_clock
-    async def test_busy_owner_hands_over_to_another_regions(self):
-        """Guards against a small region's queue while others have room."""
+    async def test_requests_of_a_busy_owner_go_to_another_region(self):
+        """Guards against a queue in a small region while others have free slots."""
         fleet = ModelFleet(WORLD, policies()["chosen"], FAR_S)
         vm = fleet.vms[0]
         first = {str(n): owner(vm, str(n)) for n in range(200)}
         own = [n for n in first if first[n].entry.failure_domain == vm.region]
-        # Its part of the slots, 2 of 12, is half of what its callers need.
+        # Its share of the slots, 2 of 12, is half of what its callers need.
         self.assertTrue(80 < len(own) < 120, len(own))
         state = first[own[0]]
         state.note_load(TargetLoad(running=1, waiting=0, slots=WORLD.slots))
@@ -69,8 +71,8 @@
         self.assertEqual(owner(there, own[0]).entry, other)
 
     @on_mock_clock
-    async def test_owner_that_is_out_is_replaced_in_its_region(self):
-        """Guards against a region's requests leaving it for one broken target."""
+    async def test_unreachable_owner_is_replaced_in_its_region(self):
+        """Guards against a broken target that sends a region's requests elsewhere."""
         vm = ModelFleet(WORLD, policies()["chosen"], FAR_S).vms[-1]
         first = owner(vm, "7")
         first.note_unreachable()
@@ -80,13 +82,13 @@
 
 
 class TestModel(unittest.TestCase):
-    def test_plays_repeat(self):
-        """Guards against figures that differ from run to run with one seed."""
+    def test_runs_are_reproducible(self):
+        """Guards against results that differ between runs with the same seed."""
         figures = [play("chosen", FAR_S, 60).tally.figures() for _ in range(2)]
         self.assertEqual(*figures)
 
     def test_few_requests_are_first_runs(self):
-        """Guards against a model in which targets remember nothing, or all."""
+        """Guards against a model in which targets remember nothing or everything."""
         figures = play("one-owner", NEAR_S, 60).tally.figures()
         self.assertGreaterEqual(figures["first_runs"] * 30 * 60, 20)
         self.assertLess(figures["first_runs"], 0.05)
--- a/tests/gateway/test_introductions.py
+++ b/tests/gateway/test_introductions.py
@@ -33,12 +33,12 @@
     return DomainSummary(domain, "veneto", f"{domain}-1", 1, number, "c:1", 0.1)
 
 
-class TestIntroductions(unittest.TestCase):
-    """All VMs start at once after they were off, and none knows of another.
+class TestAnnouncements(unittest.TestCase):
+    """All VMs start at once after an outage, and none knows another.
 
-    Each told the others with its next heartbeat only, up to a second and a half
-    later between domains. Until then a workspace's tokens could not move: 260
-    requests were refused in the first two seconds.
+    VMs announced themselves only with their next heartbeat, up to a second and a half
+    later between domains. Until then, a workspace's tokens could not move between VMs:
+    260 requests were refused in the first two seconds.
     """
 
     def make_vm(self):
@@ -51,7 +51,7 @@
         return messages, peers
 
     @on_mock_clock
-    async def test_vm_that_is_heard_first_is_told_at_once(self):
+    async def test_vm_heard_for_the_first_time_triggers_an_announcement(self):
         messages, peers = self.make_vm()
         await messages.handle(make_heartbeat("vm-1"), "10.0.0.1")
         self.assertEqual(peers.announced, 1)
@@ -63,7 +63,7 @@
         self.assertEqual(peers.announced, 2)
 
     @on_mock_clock
-    async def test_domain_that_is_heard_first_is_passed_on_and_told_at_once(self):
+    async def test_domain_heard_for_the_first_time_is_relayed_and_announced_to(self):
         messages, peers = self.make_vm()
         await messages.handle(make_summary("ven-a", 1), "10.0.1.1")
         self.assertEqual((peers.announced, peers.relayed), (1, 1))
@@ -72,7 +72,7 @@
         self.assertEqual((peers.announced, peers.relayed), (1, 1))
 
     @on_mock_clock
-    async def test_many_that_start_at_once_are_told_together(self):
+    async def test_many_vms_that_start_at_once_cause_one_announcement(self):
         messages, peers = self.make_vm()
         for n in range(1, 40):
             await messages.handle(make_heartbeat(f"vm-{n}"), f"10.0.0.{n}")
--- a/tests/gateway/test_limits.py
+++ b/tests/gateway/test_limits.py
@@ -13,10 +13,11 @@
 class TestRetryBudgets(unittest.TestCase):
     @on_mock_clock
     async def test_all_vms_together_stay_within_the_budget(self):
-        """All targets of a pool fail each request.
+        """All targets of a pool fail every request.
 
-        Every VM would send each request again, and the pool gets twice its
-        load. The share of requests and the fixed number hold for all VMs.
+        Without a shared budget, every VM would retry each request and double the pool's
+        load. The ratio of retries to requests and the fixed allowance apply to all VMs
+        together.
         """
         vms = [RetryBudgets(BOUNDS) for _ in range(12)]
         requests, retries = [], []
@@ -56,11 +57,11 @@
         return max(sum(at <= other < at + 1.0 for other in sent) for at in sent)
 
     @on_mock_clock
-    async def test_bound_holds_over_all_vms(self):
-        """Many VMs discover a cold target in the same instant.
+    async def test_limit_applies_to_all_vms_together(self):
+        """Many VMs discover a cold target at the same instant.
 
-        Each has a request for it. A bound kept by each VM alone lets all of
-        them through, and the target crashes.
+        Each has a request for it. If each VM applied the limit alone, all requests
+        would get through and crash the target.
         """
         bound = 15 * 1.5 + 5
         for count in (1, 12, 80):
@@ -69,7 +70,7 @@
             self.assertGreaterEqual(most, 5, count)
 
     @on_mock_clock
-    async def test_warm_target_has_no_bound(self):
+    async def test_warm_target_is_not_limited(self):
         vm = ColdTargets(BOUNDS, "vm-0")
         state = TargetState(make_entry("i-warm"))
         self.assertTrue(all(vm.admits(state, POOL, ["vm-0"]) for _ in range(100)))
@@ -80,10 +81,10 @@
         return fingerprint("comune", "POST", "/book/1", body)
 
     @on_mock_clock
-    async def test_stopped_after_three_targets_died(self):
-        """A request crashes each target that runs it; its caller repeats it.
+    async def test_request_is_blocked_after_three_targets_crashed(self):
+        """A request crashes each target that runs it, and its caller repeats it.
 
-        Each repeat costs another target, wherever it arrives.
+        Each repetition costs another target, whichever VM receives it.
         """
         here, there = PoisonBook(), PoisonBook()
         here.note_death(self.mark(), "i-1")
@@ -105,7 +106,7 @@
         self.assertFalse(book.is_stopped(self.mark()))
 
     @on_mock_clock
-    async def test_free_again_after_a_while(self):
+    async def test_block_expires(self):
         book = PoisonBook()
         for instance in ("i-1", "i-2", "i-3"):
             book.note_death(self.mark(), instance)
--- a/tests/gateway/test_loans.py
+++ b/tests/gateway/test_loans.py
@@ -18,7 +18,7 @@
 
 
 class Pair:
-    """Two VMs that lend to each other over a link that can lose messages."""
+    """Two VMs that lend tokens to each other over a lossy link."""
 
     def __init__(self):
         self.members = [make_members("vm-0"), make_members("vm-1")]
@@ -33,7 +33,7 @@
             Loans(quotas, members, self.send, quotas.round_trips)
             for quotas, members in zip(self.quotas, self.members, strict=True)
         ]
-        self.loses_loans = False
+        self.drops_loans = False
         self.asked = 0
 
     async def send(self, message, ip):
@@ -43,10 +43,10 @@
         if isinstance(message, TokenRequest):
             self.asked += 1
             await receiver.on_request(message, f"10.0.0.{message.vm[-1]}")
-        elif isinstance(message, TokenLoan) and not self.loses_loans:
+        elif isinstance(message, TokenLoan) and not self.drops_loans:
             receiver.on_loan(message)
 
-    def beat(self):
+    def exchange_heartbeats(self):
         for n in (0, 1):
             heartbeat = make_heartbeat(
                 f"vm-{n}", 2 + self.asked, usage=self.quotas[n].usage()
@@ -73,18 +73,18 @@
 
 class TestBorrowing(unittest.TestCase):
     @on_mock_clock
-    async def test_tokens_come_from_the_other_vm(self):
-        """A small workspace's requests clump on one VM.
+    async def test_token_is_borrowed_from_the_other_vm(self):
+        """A small workspace's requests arrive in a burst at one VM.
 
-        Its bucket is empty while the other VM's is full. Callers within their
-        quota were refused there, 4 % of them on a calm day.
+        Its bucket is empty while the other VM's is full. Callers within their quota
+        were refused in this case, 4 % of them under normal load.
         """
         pair = Pair()
         for quotas in pair.quotas:
             quotas.admit(WORKSPACE)
         await trio.sleep(2)
         drain(pair.quotas[0])
-        pair.beat()
+        pair.exchange_heartbeats()
         before, began_at = pair.tokens(), trio.current_time()
         self.assertTrue(await pair.loans[0].borrow(WORKSPACE))
         self.assertIsNone(pair.quotas[0].take_token(WORKSPACE))
@@ -92,31 +92,31 @@
         self.assertLessEqual(pair.tokens() + 1, before + grown + 0.01)
 
     @on_mock_clock
-    async def test_lost_answer_makes_no_tokens(self):
+    async def test_lost_answer_does_not_duplicate_tokens(self):
         pair = Pair()
         for quotas in pair.quotas:
             quotas.admit(WORKSPACE)
         await trio.sleep(2)
         drain(pair.quotas[0])
-        pair.beat()
-        pair.loses_loans = True
+        pair.exchange_heartbeats()
+        pair.drops_loans = True
         pair.tokens()
         before = pair.quotas[1].buckets["comune"].level
         self.assertFalse(await pair.loans[0].borrow(WORKSPACE))
         self.assertLess(pair.quotas[1].buckets["comune"].level, before)
 
     @on_mock_clock
-    async def test_nobody_is_asked_again_and_again(self):
+    async def test_borrowing_pauses_after_a_refusal(self):
         """A workspace sends many times its quota.
 
-        Each refused request would cost a round trip and two datagrams.
+        Without a pause, each refused request would cost a round trip and two datagrams.
         """
         pair = Pair()
         for quotas in pair.quotas:
             quotas.admit(WORKSPACE)
         await trio.sleep(2)
         drain(pair.quotas[0])
-        pair.beat()
+        pair.exchange_heartbeats()
         drain(pair.quotas[1])
         for _ in range(50):
             await pair.loans[0].borrow(WORKSPACE)
--- a/tests/gateway/test_quota.py
+++ b/tests/gateway/test_quota.py
@@ -15,14 +15,14 @@
 
 
 class Fleet:
-    """Several VMs' parts of quotas, without a network.
+    """Quotas of several VMs, without a network.
 
     Parameters
     ----------
     count : int
-        Of VMs.
+        Number of VMs.
     domains : int, optional
-        Failure domains that they are spread over; without it two VMs are in each.
+        Number of failure domains. By default, each domain has two VMs.
     """
 
     def __init__(self, count: int, domains: int = 0):
@@ -37,21 +37,21 @@
         self.admitted: list[float] = []
         self.asked: list[float] = []
 
-    def beat(self, groups):
-        """Exchange news within groups of VMs that reach each other."""
+    def exchange_heartbeats(self, groups):
+        """Exchange heartbeats and summaries within groups of connected VMs."""
         group_of = {
             self.vms[n].name: index for index, group in enumerate(groups) for n in group
         }
         self.gossip.is_cut = lambda a, b: group_of[a.name] != group_of[b.name]
         self.gossip.tick()
 
-    def ask(self, vm: int):
+    def send_request(self, vm: int):
         self.asked.append(trio.current_time())
-        if self.quotas[vm].admit(WORKSPACE) is None or self.is_lent(vm):
+        if self.quotas[vm].admit(WORKSPACE) is None or self.borrows_token(vm):
             self.admitted.append(trio.current_time())
 
-    def is_lent(self, vm: int) -> bool:
-        """Tell whether a holder of its failure domain lends a VM a token."""
+    def borrows_token(self, vm: int) -> bool:
+        """Return whether a holder of its failure domain lends a VM a token."""
         holders = self.quotas[vm].holders
         if holders.is_holder(WORKSPACE.name):
             return False
@@ -61,20 +61,20 @@
         )
 
     async def play(self, seconds: float, rate: float, choose, groups=None):
-        """Play a load of `rate` requests a second in all."""
+        """Generate a total load of `rate` requests per second."""
         groups = groups or [range(len(self.quotas))]
         rng = random.Random(5)
         until = trio.current_time() + seconds
         next_beat = trio.current_time()
-        owed = 0.0
+        pending = 0.0
         while trio.current_time() < until:
             if trio.current_time() >= next_beat:
-                self.beat(groups)
+                self.exchange_heartbeats(groups)
                 next_beat += 0.5
-            owed += rate * STEP_S
-            while owed >= 1.0:
-                owed -= 1.0
-                self.ask(choose(rng))
+            pending += rate * STEP_S
+            while pending >= 1.0:
+                pending -= 1.0
+                self.send_request(choose(rng))
             await trio.sleep(STEP_S)
 
     def most_in_window(self) -> int:
@@ -89,20 +89,20 @@
 ALLOWED = (WORKSPACE.rate_per_s * 5 + WORKSPACE.burst) * 1.1 + 20
 
 
-class TestLoadOverTheQuota(unittest.TestCase):
+class TestLoadAboveQuota(unittest.TestCase):
     @on_mock_clock
-    async def test_no_window_sees_more_than_the_quota(self):
+    async def test_no_window_exceeds_the_quota(self):
         fleet = Fleet(12)
         await fleet.play(30, 300, lambda rng: rng.randrange(12))
         self.assertLessEqual(fleet.most_in_window(), ALLOWED)
         self.assertGreater(len(fleet.admitted) / 30, 70)
 
     @on_mock_clock
-    async def test_not_when_callers_move_to_other_vms(self):
-        """A failure domain's callers move to another, and back, at full load.
+    async def test_quota_holds_when_callers_move_to_other_vms(self):
+        """A failure domain's callers move to another one and back at full load.
 
-        The VMs that they left keep tokens for a moment; those they come to
-        get a larger share. Both together must stay within the tolerance.
+        The VMs they leave keep tokens for a moment, and the VMs they join get a larger
+        share. Together, both must stay within the tolerance.
         """
         fleet = Fleet(12)
         for turn in range(6):
@@ -111,11 +111,11 @@
         self.assertLessEqual(fleet.most_in_window(), ALLOWED)
 
     @on_mock_clock
-    async def test_not_when_vms_are_cut_off_from_each_other(self):
-        """Halves of the fleet lose each other while a workspace sends far more.
+    async def test_quota_holds_when_the_fleet_is_partitioned(self):
+        """The fleet splits into halves while a workspace sends far more than its rate.
 
-        Each half hears only itself. Taking over the share of the silent half
-        would admit the whole quota twice.
+        Each half hears only itself. If it took over the share of the silent half, the
+        whole quota would be admitted twice.
         """
         fleet = Fleet(12)
         await fleet.play(6, 200, lambda rng: rng.randrange(12))
@@ -124,7 +124,7 @@
         self.assertLessEqual(fleet.most_in_window(), ALLOWED)
 
     @on_mock_clock
-    async def test_not_when_every_vm_hears_only_itself(self):
+    async def test_quota_holds_when_every_vm_is_isolated(self):
         fleet = Fleet(12)
         await fleet.play(6, 200, lambda rng: rng.randrange(12))
         alone = [[n] for n in range(12)]
@@ -132,13 +132,13 @@
         self.assertLessEqual(fleet.most_in_window(), ALLOWED)
 
 
-class TestStepOfDemand(unittest.TestCase):
-    """A workspace suddenly sends many times as much, everywhere.
+class TestDemandStep(unittest.TestCase):
+    """The load of a workspace suddenly multiplies on all VMs.
 
-    Targets got 1.14 times its quota in a window, where 1.12 was allowed. VMs of a
-    failure domain hear each other within half a second, and other domains a second
-    later. So to the holders of each domain it seemed that demand had grown in theirs
-    alone, and all together took several times the quota until the news had come.
+    Targets received 1.14 times the quota in a window where 1.12 was allowed. VMs of a
+    failure domain hear each other within half a second, but other domains a second
+    later. The holders of each domain therefore saw demand grow in their own domain
+    only, and all together took several times the quota until the summaries arrived.
     """
 
     async def play_step(self, count: int, before: float, after: float) -> Fleet:
@@ -149,25 +149,25 @@
         return fleet
 
     @on_mock_clock
-    async def test_no_window_sees_more_than_the_quota(self):
+    async def test_no_window_exceeds_the_quota(self):
         for count, before, after in ((36, 60, 420), (36, 20, 420), (78, 30, 900)):
             fleet = await self.play_step(count, before, after)
             self.assertLessEqual(fleet.most_in_window(), ALLOWED)
 
     @on_mock_clock
-    async def test_quota_is_given_out_when_the_step_is_over(self):
+    async def test_quota_is_used_fully_after_the_step(self):
         fleet = await self.play_step(36, 60, 420)
         before = len(fleet.admitted)
         await fleet.play(10, 420, lambda rng: rng.randrange(36))
         self.assertGreater((len(fleet.admitted) - before) / 10, WORKSPACE.rate_per_s)
 
 
-class TestLoadWithinTheQuota(unittest.TestCase):
+class TestLoadWithinQuota(unittest.TestCase):
     @on_mock_clock
     async def test_uneven_load_is_served(self):
-        """Three of twelve VMs get all requests of a workspace within its rate.
+        """Three of twelve VMs receive all requests of a workspace within its rate.
 
-        An even part of the quota serves a quarter of them.
+        An even division of the quota would serve a quarter of them.
         """
         fleet = Fleet(12)
         await fleet.play(3, 60, lambda rng: rng.randrange(3))
@@ -178,13 +178,13 @@
         self.assertGreater(admitted / asked, 0.99)
 
     @on_mock_clock
-    async def test_no_limit_is_no_limit(self):
+    async def test_workspace_without_a_rate_is_unlimited(self):
         quotas = Quotas(make_members(), BOUNDS, make_round_trips())
         free = Workspace("free")
         self.assertTrue(all(quotas.admit(free) is None for _ in range(1000)))
 
     @on_mock_clock
-    async def test_lowered_quota_binds(self):
+    async def test_lowered_quota_takes_effect(self):
         quotas = Quotas(make_members(), BOUNDS, make_round_trips())
         lowered = Workspace("comune", rate_per_s=1.0, burst=1.0)
         for _ in range(10):
@@ -199,8 +199,8 @@
 class TestStart(unittest.TestCase):
     """All VMs start at once and do not know each other yet.
 
-    Each that hears few others took a share as if they were all: twelve VMs
-    together admitted several times the quota in their first second.
+    A VM that had heard only a few others took a share as if there were no more. Twelve
+    VMs together admitted several times the quota in their first second.
     """
 
     async def admitted_in_first_second(self, fleet: Fleet) -> int:
@@ -208,19 +208,19 @@
             for quotas in fleet.quotas:
                 quotas.recompute_shares()
             for vm in range(12):
-                fleet.ask(vm)
-                fleet.ask(vm)
+                fleet.send_request(vm)
+                fleet.send_request(vm)
             await trio.sleep(0.01)
         return len(fleet.admitted)
 
     @on_mock_clock
-    async def test_vms_that_were_listed_and_not_heard_keep_their_part(self):
+    async def test_share_is_set_aside_for_listed_vms_not_heard_yet(self):
         fleet = Fleet(12)
         admitted = await self.admitted_in_first_second(fleet)
         self.assertLessEqual(admitted, 84 + 0.7 * 62 + 12)
 
     @on_mock_clock
-    async def test_vm_that_knows_of_no_list_takes_little(self):
+    async def test_vm_without_a_list_of_vms_takes_little(self):
         fleet = Fleet(12)
         for members in fleet.members:
             members.table.clear()
@@ -245,8 +245,8 @@
         return count
 
     @on_mock_clock
-    async def test_a_token_returned_at_once_is_there_again(self):
-        """Guards against tokens lost to targets that say at once they are busy."""
+    async def test_token_returned_at_once_is_available_again(self):
+        """Guards against tokens lost to targets that immediately report being busy."""
         quotas = self.quotas()
         await trio.sleep(10)
         taken = self.take_all(quotas)
@@ -255,8 +255,8 @@
         self.assertEqual(self.take_all(quotas), taken)
 
     @on_mock_clock
-    async def test_tokens_that_were_filled_meanwhile_are_not_returned(self):
-        """Guards against a burst of all that waited for targets that were gone."""
+    async def test_tokens_refilled_in_the_meantime_are_not_returned(self):
+        """Guards against a burst after many requests waited for unavailable targets."""
         quotas = self.quotas()
         await trio.sleep(10)
         bucket = quotas.buckets[WORKSPACE.name]
--- a/tests/gateway/test_quota_bounds.py
+++ b/tests/gateway/test_quota_bounds.py
@@ -13,19 +13,21 @@
     return Workspace("comune", rate_per_s=rate_per_s, burst=rate_per_s)
 
 
-async def played(story, workspace: Workspace, domains=DOMAINS, seed=1) -> LinkedFleet:
-    """Play a story on a fleet; return it."""
+async def run_scenario(
+    scenario, workspace: Workspace, domains=DOMAINS, seed=1
+) -> LinkedFleet:
+    """Run a scenario on a fleet; return the fleet."""
     async with trio.open_nursery() as nursery:
         fleet = LinkedFleet(domains, workspace, nursery, seed=seed)
-        await story(fleet)
+        await scenario(fleet)
         nursery.cancel_scope.cancel()
     return fleet
 
 
-class TestCallersThatMove(unittest.TestCase):
+class TestMovingCallers(unittest.TestCase):
     @on_mock_clock
     async def test_tokens_of_former_shares_do_not_add_up(self):
-        """Guards against tokens that stay at VMs whose callers have moved away."""
+        """Guards against tokens left on VMs whose callers have moved away."""
 
         async def move_then_overload(fleet):
             for ip in fleet.vms:
@@ -33,30 +35,30 @@
             await fleet.play(6, 60)
 
         for rate_per_s in (2.0, 6.0):
-            fleet = await played(move_then_overload, of_rate(rate_per_s))
+            fleet = await run_scenario(move_then_overload, of_rate(rate_per_s))
             self.assertLessEqual(fleet.used, 1.0, rate_per_s)
 
 
-class TestDemandThatFalls(unittest.TestCase):
+class TestFallingDemand(unittest.TestCase):
     @on_mock_clock
     async def test_shares_do_not_sum_to_more_than_one(self):
-        """Guards against own demand that is older than that of others."""
+        """Guards against computing shares with own demand older than that of others."""
 
-        async def fall(fleet):
+        async def drop_load(fleet):
             rate_per_s = fleet.workspace.rate_per_s
             await fleet.play(6, 20 * rate_per_s)
             await fleet.play(7, 1.5 * rate_per_s)
 
-        fleet = await played(fall, of_rate(150.0))
+        fleet = await run_scenario(drop_load, of_rate(150.0))
         self.assertLessEqual(fleet.used, 1.0)
 
 
-class TestAllVmsStartAgain(unittest.TestCase):
+class TestRestartOfAllVms(unittest.TestCase):
     @on_mock_clock
-    async def test_tokens_of_a_start_are_within_the_tolerance(self):
-        """Guards against a whole token at each VM that starts, however many do."""
+    async def test_initial_tokens_are_within_the_tolerance(self):
+        """Guards against one whole token for each starting VM of a large fleet."""
 
-        async def start_again(fleet):
+        async def restart_all(fleet):
             await fleet.play(10, fleet.workspace.rate_per_s / 20)
             await fleet.play(0.3, 60)
             for ip in fleet.vms:
@@ -65,25 +67,28 @@
 
         domains = {f"{region}-{n}": 2 for region in ("be", "nl", "fr") for n in "abcd"}
         for rate_per_s in (2.0, 6.0):
-            fleet = await played(start_again, of_rate(rate_per_s), domains)
+            fleet = await run_scenario(restart_all, of_rate(rate_per_s), domains)
             self.assertLessEqual(fleet.used, 1.0, rate_per_s)
 
 
-class TestPartitionAfterAStart(unittest.TestCase):
+class TestPartitionAfterRestart(unittest.TestCase):
     @on_mock_clock
-    async def test_shares_of_first_counts_do_not_sum_to_more_than_one(self):
-        """Guards against parts by the first demand told, kept while news is cut off."""
+    async def test_shares_from_first_counts_do_not_sum_to_more_than_one(self):
+        """Guards against shares based on the first reported demand.
 
-        async def start_then_part(fleet):
+        They were kept while a partition blocked further reports.
+        """
+
+        async def restart_then_partition(fleet):
             rate_per_s = fleet.workspace.rate_per_s
             await fleet.play(8, rate_per_s / 20)
             await fleet.play(0.3, 20 * rate_per_s)
             for ip in fleet.vms:
                 fleet.restart(ip)
             await fleet.play(0.95, 4 * rate_per_s)
-            gone = set(fleet.rng.sample(list(fleet.vms), 3))
-            fleet.is_cut = lambda a, b: (a in gone) != (b in gone)
+            isolated = set(fleet.rng.sample(list(fleet.vms), 3))
+            fleet.is_cut = lambda a, b: (a in isolated) != (b in isolated)
             await fleet.play(6, 4 * rate_per_s)
 
-        fleet = await played(start_then_part, of_rate(150.0))
+        fleet = await run_scenario(restart_then_partition, of_rate(150.0))
         self.assertLessEqual(fleet.used, 1.0)
--- a/tests/gateway/test_speakers.py
+++ b/tests/gateway/test_speakers.py
@@ -27,9 +27,9 @@
     return sorted(beat.vm for beat in vm.members.ready())
 
 
-class TestNews(unittest.TestCase):
+class TestSummaries(unittest.TestCase):
     @on_mock_clock
-    async def test_all_vms_know_all_that_are_ready(self):
+    async def test_all_vms_know_all_ready_vms(self):
         fleet = GossipFleet(SIX_DOMAINS)
         await run(fleet, 6)
         everyone = sorted(vm.name for vm in fleet.vms.values())
@@ -40,11 +40,11 @@
             self.assertEqual(known_ready(vm), everyone)
 
     @on_mock_clock
-    async def test_lost_speakers_leave_no_domain_silent(self):
-        """Both VMs that speak for a failure domain are killed at once.
+    async def test_lost_speakers_are_replaced(self):
+        """Both speakers of a failure domain are killed at once.
 
-        The others of their domain live; callers of the region must still be
-        told of them, and of none that was killed.
+        The other VMs of their domain are alive. Look-ups must still return them, and
+        none of the killed VMs.
         """
         fleet = GossipFleet(SIX_DOMAINS)
         await run(fleet, 8)
@@ -58,7 +58,7 @@
             self.assertEqual(known_ready(vm), alive)
 
     @on_mock_clock
-    async def test_killed_vm_is_named_for_less_than_six_seconds(self):
+    async def test_killed_vm_is_returned_for_less_than_six_seconds(self):
         fleet = GossipFleet(SIX_DOMAINS)
         await run(fleet, 8)
         killed = fleet.vms.pop("10.0.0.3")
@@ -67,7 +67,7 @@
             self.assertNotIn(killed.name, known_ready(vm))
 
     @on_mock_clock
-    async def test_lost_domain_is_silent_and_comes_back(self):
+    async def test_partitioned_domain_is_silent_and_recovers(self):
         fleet = GossipFleet(SIX_DOMAINS)
         await run(fleet, 8)
         fleet.is_cut = lambda a, b: (a.domain == "mil-a") != (b.domain == "mil-a")
@@ -81,7 +81,7 @@
             self.assertEqual(len(known_ready(vm)), 24)
 
     @on_mock_clock
-    async def test_leaving_vm_is_told_of_and_does_not_speak(self):
+    async def test_leaving_vm_is_reported_and_is_no_speaker(self):
         fleet = GossipFleet(SIX_DOMAINS)
         await run(fleet, 8)
         vm = fleet.vms["10.0.0.1"]
@@ -92,11 +92,11 @@
             self.assertNotIn(vm.name, other.speakers.names())
 
 
-class TestCost(unittest.TestCase):
-    """Each VM told each other one everything.
+class TestTraffic(unittest.TestCase):
+    """Guards against each VM sending everything to every other VM.
 
-    80 VMs and 80 workspaces made 0.3 GB between regions in 42 s, two fifths of what
-    the callers' own requests were worth.
+    80 VMs and 80 workspaces caused 0.3 GB of traffic between regions in 42 s, two
+    fifths of the traffic of the callers' own requests.
     """
 
     async def play(self, per_domain):
@@ -113,23 +113,25 @@
         return fleet
 
     @on_mock_clock
-    async def test_messages_and_bytes_follow_the_domain_not_the_fleet(self):
+    async def test_traffic_depends_on_domain_size_not_fleet_size(self):
         fleet = await self.play(13)
         self.assertLess(max(fleet.sent.values()) / 4, 80)
         self.assertLess(max(fleet.sent_bytes.values()) / 4, 250_000)
-        # All-to-all had 53 far receivers each second and VM, 2.3 KB each.
+        # With all-to-all messages, each VM sent 2.3 KB to 53 far VMs every second.
         self.assertLess(fleet.far_bytes / 4, 78 * 53 * 2300 / 20)
 
     @on_mock_clock
-    async def test_vms_with_wide_links_speak(self):
+    async def test_vms_with_high_bandwidth_become_speakers(self):
         fleet = await self.play(6)
-        widths = {vm.name: vm.weight for vm in fleet.vms.values()}
-        spoken = [widths[n] for vm in fleet.vms.values() for n in vm.speakers.names()]
-        self.assertGreater(spoken.count(100) / len(spoken), 0.7)
+        weights = {vm.name: vm.weight for vm in fleet.vms.values()}
+        speaker_weights = [
+            weights[n] for vm in fleet.vms.values() for n in vm.speakers.names()
+        ]
+        self.assertGreater(speaker_weights.count(100) / len(speaker_weights), 0.7)
 
 
 class TestQuotasOverDomains(unittest.TestCase):
-    """One workspace sends several times its rate, at VMs of all domains."""
+    """One workspace sends several times its rate to VMs of all domains."""
 
     async def most_in_window(self, fleet, seconds, rate, choose):
         admitted = []
@@ -146,7 +148,7 @@
         return max(sum(at <= o < at + window for o in admitted) for at in admitted[::5])
 
     @on_mock_clock
-    async def test_no_window_sees_more_than_the_quota(self):
+    async def test_no_window_exceeds_the_quota(self):
         fleet = GossipFleet(SIX_DOMAINS)
         await run(fleet, 8)
         most = await self.most_in_window(
@@ -156,7 +158,7 @@
         self.assertGreater(most, ALLOWED * 0.7)
 
     @on_mock_clock
-    async def test_not_when_callers_move_between_domains(self):
+    async def test_quota_holds_when_callers_move_between_domains(self):
         fleet = GossipFleet(SIX_DOMAINS)
         await run(fleet, 8)
 
@@ -167,7 +169,7 @@
         self.assertLessEqual(await self.most_in_window(fleet, 25, 400, choose), ALLOWED)
 
     @on_mock_clock
-    async def test_not_when_domains_are_cut_off_from_each_other(self):
+    async def test_quota_holds_when_domains_are_partitioned(self):
         fleet = GossipFleet(SIX_DOMAINS)
         await run(fleet, 8)
         pick = lambda rng, vms, step: rng.choice(vms)  # noqa: E731
@@ -177,10 +179,10 @@
 
 
 class TestSmallWorkspace(unittest.TestCase):
-    """A workspace within its rate sends a few requests a second to 78 VMs.
+    """A workspace within its rate sends a few requests per second to 78 VMs.
 
-    Each VM held a 78th part of its quota, seldom a whole token, and two others
-    that it could ask had none to spare either: 7 % were refused.
+    Each VM held a 78th of its quota, rarely a whole token. The two other VMs that it
+    could ask had none to spare either, and 7 % of the requests were refused.
     """
 
     @on_mock_clock
