--- a/packages/gateway/plantainshed_gateway/demand.py
+++ b/packages/gateway/plantainshed_gateway/demand.py
@@ -18,7 +18,7 @@
     """Requests per second, averaged over `DEMAND_AVERAGING_S`."""
 
     rate: float = 0.0
-    counted_at: float = field(factory=trio.current_time)
+    updated_at: float = field(factory=trio.current_time)
 
     def add(self):
         """Count one request."""
@@ -28,8 +28,8 @@
     def decay(self):
         """Update the average to the current time."""
         now = trio.current_time()
-        self.rate *= max(0.0, 1.0 - (now - self.counted_at) / DEMAND_AVERAGING_S)
-        self.counted_at = now
+        self.rate *= max(0.0, 1.0 - (now - self.updated_at) / DEMAND_AVERAGING_S)
+        self.updated_at = now
 
 
 @define
--- a/packages/gateway/plantainshed_gateway/loans.py
+++ b/packages/gateway/plantainshed_gateway/loans.py
@@ -285,5 +285,5 @@
         took_s = trio.current_time() - request.sent_at
         self.round_trips.record(request.lender.failure_domain, took_s)
         tokens = max(0.0, min(MAX_LOAN, loan.tokens))
-        self.quotas.add(request.workspace, tokens)
+        self.quotas.add_borrowed(request.workspace, tokens)
         request.batch.record_answer(tokens)
--- a/packages/gateway/plantainshed_gateway/members.py
+++ b/packages/gateway/plantainshed_gateway/members.py
@@ -51,7 +51,7 @@
         domain, and is None if the VM was only listed.
     heard_at : float
         When the heartbeat was received, by this VM or by the speaker that reported it.
-    alive_s : float
+    timeout_s : float
         Time after `heard_at` for which the VM counts as alive.
     demand_history : DemandHistory
         Demand in its heartbeats. Empty if the VM is in another failure domain.
@@ -61,14 +61,14 @@
     failure_domain: str
     heartbeat: Heartbeat | None = None
     heard_at: float = float("-inf")
-    alive_s: float = HEARTBEAT_TIMEOUT_S
+    timeout_s: float = HEARTBEAT_TIMEOUT_S
     known_since: float = field(factory=trio.current_time)
     demand_history: DemandHistory = field(factory=DemandHistory)
 
     @property
     def is_alive(self) -> bool:
         """Whether the newest heartbeat is recent enough."""
-        return trio.current_time() - self.heard_at < self.alive_s
+        return trio.current_time() - self.heard_at < self.timeout_s
 
     @property
     def is_expected(self) -> bool:
@@ -186,7 +186,7 @@
         demand_history.add(trio.current_time(), _demand_by_workspace(heartbeat.usage))
         return True
 
-    def _record(self, beat: Heartbeat, ip: str, age_s: float, alive_s: float) -> bool:
+    def _record(self, beat: Heartbeat, ip: str, age_s: float, timeout_s: float) -> bool:
         member = self.table.setdefault(beat.vm, Member(ip, beat.failure_domain))
         known = member.heartbeat
         if known is not None and _version(beat) < _version(known):
@@ -200,7 +200,7 @@
         member.ip, member.failure_domain = ip, beat.failure_domain
         member.heartbeat = beat
         member.heard_at = heard_at
-        member.alive_s = alive_s
+        member.timeout_s = timeout_s
         return True
 
     def record_summary(self, summary: DomainSummary) -> bool:
--- a/packages/gateway/plantainshed_gateway/peer_messages.py
+++ b/packages/gateway/plantainshed_gateway/peer_messages.py
@@ -65,7 +65,7 @@
         self.nursery: trio.Nursery | None = None
         self._announced_at = float("-inf")
         self._member_list_sent_at: dict[str, float] = {}
-        # Incarnations of VMs of this failure domain that have announced to leave.
+        # Incarnations in which VMs of this failure domain announced that they leave.
         self._leaving_incarnations: dict[str, int] = {}
 
     async def handle(self, message: Message, ip: str):
--- a/packages/gateway/plantainshed_gateway/quota.py
+++ b/packages/gateway/plantainshed_gateway/quota.py
@@ -223,7 +223,7 @@
         self.round_trips = round_trips
         self.holders = Holders(members)
         self.workspaces: dict[str, Workspace] = {}
-        self._announced = DemandHistory()
+        self._announced_demand = DemandHistory()
         self.demands: dict[str, Demand] = {}
         self.buckets: dict[str, Bucket] = {}
 
@@ -251,7 +251,7 @@
         missing_s = (1.0 - bucket.level) / max(bucket.rate * share, 0.01)
         return min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, missing_s))
 
-    def add(self, name: str, tokens: float):
+    def add_borrowed(self, name: str, tokens: float):
         """Add borrowed tokens. The level may then exceed this VM's capacity."""
         bucket = self.buckets.get(name)
         if bucket is not None:
@@ -363,8 +363,8 @@
             # VM that borrows from this one.
             if workspace.rate_per_s > 0 and self.holders.is_holder(name):
                 self._bucket(workspace)
-        own = self._announced.at(moment)
-        is_own_known = self._announced.covers(moment)
+        own = self._announced_demand.at(moment)
+        is_own_known = self._announced_demand.covers(moment)
         holder_count = self.holders.fleet_holder_count()
         heard_fraction = self._heard_fraction()
         is_some_silent = self.members.heard_count() > len(self.members.alive())
@@ -433,7 +433,7 @@
         for demand in self.demands.values():
             demand.decay()
         rates = {name: round(demand.rate, 2) for name, demand in self.demands.items()}
-        self._announced.add(trio.current_time(), rates)
+        self._announced_demand.add(trio.current_time(), rates)
         # Workspaces without demand or share on this VM are omitted. With 80 VMs and 80
         # workspaces, that is more than half of them.
         return {
--- a/tests/gateway/linked_fleet.py
+++ b/tests/gateway/linked_fleet.py
@@ -57,7 +57,7 @@
             ip,
             1,
             lambda: self.make_own_heartbeat(self.quotas.usage()),
-            self.take,
+            self.on_message,
             log,
         )
         self.loans = Loans(self.quotas, self.members, self.peers.send, self.round_trips)
@@ -84,7 +84,7 @@
             usage=usage,
         )
 
-    async def take(self, message, ip):
+    async def on_message(self, message, ip):
         await self.messages.handle(message, ip)
 
     async def run(self, after_s: float):
@@ -169,7 +169,7 @@
         )
         await trio.sleep(self.one_way_s if is_far else NEAR_S)
         if not self.is_cut(sender, ip):
-            await self.vms[ip].take(decode(data), sender)
+            await self.vms[ip].on_message(decode(data), sender)
 
     async def request(self, vm: LinkedVm):
         """Admit one request in the same way as the gateway."""
