--- a/packages/gateway/plantainshed_gateway/gateway.py
+++ b/packages/gateway/plantainshed_gateway/gateway.py
@@ -119,7 +119,7 @@
                 collection,
                 self._on_change,
                 context.log,
-                self.speakers.can_reach_store,
+                self.speakers.do_speakers_reach_store,
             )
             for collection in FOLLOWED
         }
--- a/packages/gateway/plantainshed_gateway/speakers.py
+++ b/packages/gateway/plantainshed_gateway/speakers.py
@@ -68,7 +68,7 @@
         """Whether this VM is a speaker of its failure domain."""
         return self.members.own.vm in self.names()
 
-    def can_reach_store(self) -> bool:
+    def do_speakers_reach_store(self) -> bool:
         """Return whether another VM watches the store on behalf of this one.
 
         That is the case if this VM is not a speaker and the store answers a speaker.
