--- a/packages/gateway/plantainshed_gateway/speakers.py
+++ b/packages/gateway/plantainshed_gateway/speakers.py
@@ -80,10 +80,9 @@
         return any(table[name].heartbeat.is_store_reachable for name in names)
 
     def is_first_to_reach_store(self) -> bool:
-        """Return whether this VM should use the store for its failure domain.
+        """Return whether this VM is the speaker that polls the store.
 
-        That is the case if it is a speaker and the store answers no speaker ranked
-        before it.
+        That is the case if the store answers no speaker that is ranked before this VM.
         """
         for name in self.names():
             if name == self.members.own.vm:
