--- a/packages/gateway/plantainshed_gateway/datagrams.py
+++ b/packages/gateway/plantainshed_gateway/datagrams.py
@@ -1,7 +1,8 @@
-"""Messages between VMs, as datagrams: a tag, then fields by position.
+"""Encoding of messages between VMs as datagrams: a tag, then fields by position.
 
-Names of fields are left out, and long messages compressed, because each byte
-between regions has its price: news of 13 VMs and 80 workspaces takes a quarter.
+Field names are omitted and long messages are compressed, because traffic between
+regions costs money per byte. A summary of 13 VMs and 80 workspaces shrinks to a
+quarter.
 """
 
 import zlib
@@ -10,44 +11,50 @@
 import orjson
 from attrs import frozen
 
-from .heartbeats import Bundle, DomainNews, Heartbeat, Use, UseSummary
+from .heartbeats import (
+    DomainSummary,
+    Heartbeat,
+    QuotaUsage,
+    SummaryBundle,
+    UsageSummary,
+)
 
 
 @frozen
-class TokenAsk:
-    """A VM asks another for tokens of a workspace's quota.
+class TokenRequest:
+    """Request for tokens of a workspace's quota.
 
     Parameters
     ----------
     vm : str
-        Who asks.
+        The VM that sends the request.
     number : int
-        Names the question; the answer bears it.
+        Identifies the request in the answer.
     workspace : str
-    most : float
-        Tokens that it can use.
-    kept : float
-        Tokens that the other keeps for its own callers.
+    max_tokens : float
+        Maximum number of tokens to lend.
+    reserved : float
+        Tokens that the lender keeps for its own callers.
     """
 
     vm: str
     number: int
     workspace: str
-    most: float = 1.0
-    kept: float = 0.0
+    max_tokens: float = 1.0
+    reserved: float = 0.0
 
 
 @frozen
 class TokenLoan:
-    """What a VM gives; it has taken the tokens from its own bucket before."""
+    """Answer to a `TokenRequest`, sent after withdrawing the tokens."""
 
     number: int
     tokens: float
 
 
 @frozen
-class Roster:
-    """Which VMs the sender knows, for one that knows fewer.
+class MemberList:
+    """VMs known to the sender, for a VM that knows fewer.
 
     Parameters
     ----------
@@ -58,48 +65,59 @@
     vms: dict[str, tuple[str, str]]
 
 
-Message = Heartbeat | DomainNews | Bundle | TokenAsk | TokenLoan | Roster
+Message = (
+    Heartbeat | DomainSummary | SummaryBundle | TokenRequest | TokenLoan | MemberList
+)
 _BY_TAG = {
     "h": Heartbeat,
-    "n": DomainNews,
-    "b": Bundle,
-    "a": TokenAsk,
+    "n": DomainSummary,
+    "b": SummaryBundle,
+    "a": TokenRequest,
     "l": TokenLoan,
-    "r": Roster,
+    "r": MemberList,
 }
-# From here on a message shrinks by more than half (2.3 KB to 0.9, 4.5 KB to 1.1)
-# for 8 to 53 us of processor time.
-COMPRESSED_FROM_BYTES = 600
+# Messages of at least this size are compressed. They shrink by more than half (2.3 KB
+# to 0.9, 4.5 KB to 1.1) for 8 to 53 us of processor time.
+COMPRESSION_THRESHOLD_BYTES = 600
 COMPRESSION_LEVEL = 1
-ZLIB_START = b"\x78"
-# Bounds what a forged datagram can unpack to.
-MOST_PLAIN_BYTES = 1_000_000
+ZLIB_HEADER = b"\x78"
+# Limits the memory that a forged datagram can use when decompressed.
+MAX_DECOMPRESSED_BYTES = 1_000_000
 _TAG_OF = {kind: tag for tag, kind in _BY_TAG.items()}
 _CONVERTER = cattrs.Converter(
     unstruct_strat=cattrs.UnstructureStrategy.AS_TUPLE, detailed_validation=False
 )
 
 
-# Uses of quotas are most of each message. By hand a heartbeat with 80 of them is
-# decoded in 0.18 ms, by the converter alone in 0.33; a VM of a domain of 13 takes
-# in 24 of them a second.
+# Quota usage makes up most of each message. With these hooks, decoding a heartbeat with
+# 80 entries takes 0.18 ms, with the plain converter 0.33 ms; a VM in a domain of 13
+# receives 24 heartbeats a second.
 _CONVERTER.register_unstructure_hook(
-    Use, lambda use: (use.demand, use.share, use.level)
+    QuotaUsage, lambda usage: (usage.demand, usage.share, usage.level)
 )
 _CONVERTER.register_unstructure_hook(
-    UseSummary,
-    lambda use: (use.demand, use.share, use.kept, use.level, use.lender),
+    UsageSummary,
+    lambda usage: (
+        usage.demand,
+        usage.share,
+        usage.silent_share,
+        usage.level,
+        usage.lender,
+    ),
+)
+_CONVERTER.register_structure_hook(
+    SummaryBundle, lambda fields, _: _structure_bundle(fields)
 )
-_CONVERTER.register_structure_hook(Bundle, lambda fields, _: _bundle(fields))
 _CONVERTER.register_structure_hook_func(
-    lambda kind: kind == dict[str, Use], lambda fields, _: _by_name(fields, _use)
+    lambda kind: kind == dict[str, QuotaUsage],
+    lambda fields, _: _structure_by_name(fields, _structure_usage),
 )
 _CONVERTER.register_structure_hook_func(
-    lambda kind: kind == dict[str, UseSummary],
-    lambda fields, _: _by_name(fields, _use_summary),
+    lambda kind: kind == dict[str, UsageSummary],
+    lambda fields, _: _structure_by_name(fields, _structure_usage_summary),
 )
-# What the converter raises on fields of another shape than a message's.
-_NOT_A_MESSAGE = (
+# Exceptions that the converter raises for fields that do not form a message.
+_DECODING_ERRORS = (
     cattrs.BaseValidationError,
     AttributeError,
     IndexError,
@@ -109,93 +127,102 @@
 
 
 @frozen
-class PackedNews:
-    """News as it came in a bundle: most is known already and not decoded.
+class PackedSummary:
+    """Undecoded summary from a bundle.
+
+    Most summaries in a bundle are already known and never decoded.
 
     Parameters
     ----------
     fields : list
-        Of a `DomainNews`, by position.
+        Fields of a `DomainSummary`, by position.
     """
 
     fields: list
 
     @property
     def failure_domain(self) -> str:
-        """Whose news it is."""
+        """Failure domain that the summary describes."""
         return self.fields[0]
 
     @property
     def speaker(self) -> str:
-        """VM that told it."""
+        """VM that sent the summary."""
         return self.fields[2]
 
     @property
-    def order(self) -> tuple[int, int]:
-        """Incarnation and number."""
+    def version(self) -> tuple[int, int]:
+        """Incarnation and number of the summary."""
         return self.fields[3], self.fields[4]
 
-    def unpack(self) -> DomainNews:
-        """Return the news, or raise `ValueError`."""
+    def unpack(self) -> DomainSummary:
+        """Return the decoded summary, or raise `ValueError`."""
         try:
-            return _CONVERTER.structure(self.fields, DomainNews)
-        except _NOT_A_MESSAGE as error:
-            raise ValueError(f"not news of a failure domain: {error!r}") from error
+            return _CONVERTER.structure(self.fields, DomainSummary)
+        except _DECODING_ERRORS as error:
+            raise ValueError(
+                f"invalid summary of a failure domain: {error!r}"
+            ) from error
+
 
+def _structure_bundle(fields) -> SummaryBundle:
+    """Return a bundle of packed summaries.
 
-def _bundle(fields) -> Bundle:
-    """Return a bundle whose news can be told apart without being decoded."""
+    Their domains, speakers, and versions can be read without decoding them.
+    """
     (packed,) = fields
-    news = tuple(PackedNews(list(item)) for item in packed)
-    for item in news:
+    summaries = tuple(PackedSummary(list(item)) for item in packed)
+    for item in summaries:
         if not (isinstance(item.failure_domain, str) and isinstance(item.speaker, str)):
-            raise TypeError("news must name a failure domain and its speaker")
-        if not all(isinstance(number, int) for number in item.order):
-            raise TypeError("news must have whole numbers")
-    return Bundle(news)
+            raise TypeError("a summary's failure domain and speaker must be strings")
+        if not all(isinstance(number, int) for number in item.version):
+            raise TypeError("a summary's incarnation and number must be integers")
+    return SummaryBundle(summaries)
 
 
 def encode(message: Message) -> bytes:
-    """Return a message's bytes."""
+    """Return the datagram for a message."""
     data = orjson.dumps([_TAG_OF[type(message)], _CONVERTER.unstructure(message)])
-    if len(data) < COMPRESSED_FROM_BYTES:
+    if len(data) < COMPRESSION_THRESHOLD_BYTES:
         return data
     return zlib.compress(data, COMPRESSION_LEVEL)
 
 
 def decode(data: bytes) -> Message:
-    """Return the message of a datagram, or raise `ValueError`."""
+    """Return the message in a datagram, or raise `ValueError`."""
     try:
-        tag, fields = orjson.loads(_decompressed(data))
+        tag, fields = orjson.loads(_decompress(data))
         return _CONVERTER.structure(fields, _BY_TAG[tag])
-    except _NOT_A_MESSAGE as error:
-        raise ValueError(f"not a message between VMs: {error!r}") from error
+    except _DECODING_ERRORS as error:
+        raise ValueError(f"invalid message: {error!r}") from error
 
 
-def _by_name(fields, decode_value) -> dict:
+def _structure_by_name(fields, decode_value) -> dict:
     return {str(name): decode_value(value) for name, value in fields.items()}
 
 
-def _use(value) -> Use:
+def _structure_usage(value) -> QuotaUsage:
     demand, share, level = value
-    return Use(float(demand), float(share), float(level))
+    return QuotaUsage(float(demand), float(share), float(level))
 
 
-def _use_summary(value) -> UseSummary:
-    demand, share, kept, level, lender = value
-    return UseSummary(
-        float(demand), float(share), float(kept), float(level), str(lender)
+def _structure_usage_summary(value) -> UsageSummary:
+    demand, share, silent_share, level, lender = value
+    return UsageSummary(
+        float(demand), float(share), float(silent_share), float(level), str(lender)
     )
 
 
-def _decompressed(data: bytes) -> bytes:
-    if not data.startswith(ZLIB_START):
+def _decompress(data: bytes) -> bytes:
+    if not data.startswith(ZLIB_HEADER):
         return data
     unpacker = zlib.decompressobj()
     try:
-        plain = unpacker.decompress(data, MOST_PLAIN_BYTES)
+        plain = unpacker.decompress(data, MAX_DECOMPRESSED_BYTES)
     except zlib.error as error:
-        raise ValueError(f"not a compressed message: {error}") from error
+        raise ValueError(f"message cannot be decompressed: {error}") from error
     if unpacker.unconsumed_tail:
-        raise ValueError(f"longer than {MOST_PLAIN_BYTES} bytes when decompressed")
+        raise ValueError(
+            f"message exceeds {MAX_DECOMPRESSED_BYTES} bytes when decompressed"
+        )
     return plain
--- a/packages/gateway/plantainshed_gateway/demand.py
+++ b/packages/gateway/plantainshed_gateway/demand.py
@@ -1,4 +1,4 @@
-"""How many requests a second there are, as a running average, and were lately."""
+"""Request rates as running averages, and a history of recent values."""
 
 from collections import deque
 from collections.abc import Mapping
@@ -6,42 +6,42 @@
 import trio
 from attrs import define, field
 
-# Time over which demand is averaged. It spans a few heartbeats, so that VMs
-# that compute with news of different age get nearly the same shares.
-DEMAND_S = 2.0
-# How long what was told is kept: longer than the oldest news that still counts.
-KEPT_S = 8.0
+# Averaging time of demand. It spans several heartbeats, so VMs that compute with
+# reports of different ages get nearly the same shares.
+DEMAND_AVERAGING_S = 2.0
+# Length of the history. It exceeds the age of the oldest report that is still used.
+HISTORY_S = 8.0
 
 
 @define
 class Demand:
-    """Requests a second, averaged over `DEMAND_S`."""
+    """Requests per second, averaged over `DEMAND_AVERAGING_S`."""
 
     rate: float = 0.0
-    counted_at: float = field(factory=trio.current_time)
+    updated_at: float = field(factory=trio.current_time)
 
     def add(self):
         """Count one request."""
         self.decay()
-        self.rate += 1.0 / DEMAND_S
+        self.rate += 1.0 / DEMAND_AVERAGING_S
 
     def decay(self):
-        """Bring the average up to now."""
+        """Update the average to the current time."""
         now = trio.current_time()
-        self.rate *= max(0.0, 1.0 - (now - self.counted_at) / DEMAND_S)
-        self.counted_at = now
+        self.rate *= max(0.0, 1.0 - (now - self.updated_at) / DEMAND_AVERAGING_S)
+        self.updated_at = now
 
 
 @define
-class DemandThen:
-    """Demand by workspace at a moment between two tellings.
+class PastDemand:
+    """Demand by workspace at a moment, interpolated between two reports.
 
     Attributes
     ----------
     before, after : dict of str to float
-        Requests a second.
+        Requests per second in the two reports.
     weight : float
-        Of `after`, from 0 to 1.
+        Weight of `after`, from 0 to 1.
     """
 
     before: Mapping[str, float]
@@ -49,44 +49,47 @@
     weight: float
 
     def of(self, workspace: str) -> float:
-        """Return the requests a second that were asked for."""
+        """Return a workspace's demand in requests per second."""
         before = self.before.get(workspace, 0.0)
         after = self.after.get(workspace, 0.0)
         return before + (after - before) * self.weight
 
 
 @define
-class ToldDemand:
-    """What one VM, or failure domain, told lately of its demand.
+class DemandHistory:
+    """Recently reported demand of one VM or failure domain.
 
     Attributes
     ----------
-    told : deque of tuple
-        Moment and demand by workspace, oldest first.
+    samples : deque of tuple
+        Time and demand by workspace of each report, oldest first.
     """
 
-    told: deque[tuple[float, Mapping[str, float]]] = field(factory=deque)
+    samples: deque[tuple[float, Mapping[str, float]]] = field(factory=deque)
 
-    def note(self, moment: float, demand: Mapping[str, float]):
-        """Take in what was so at a moment."""
-        while self.told and self.told[-1][0] >= moment:
-            self.told.pop()
-        self.told.append((moment, demand))
-        while self.told[0][0] < moment - KEPT_S:
-            self.told.popleft()
+    def add(self, moment: float, demand: Mapping[str, float]):
+        """Record the demand at a moment."""
+        while self.samples and self.samples[-1][0] >= moment:
+            self.samples.pop()
+        self.samples.append((moment, demand))
+        while self.samples[0][0] < moment - HISTORY_S:
+            self.samples.popleft()
 
-    def reaches(self, moment: float) -> bool:
-        """Tell whether anything was told up to a moment."""
-        return bool(self.told) and self.told[0][0] <= moment
+    def covers(self, moment: float) -> bool:
+        """Return whether the history contains a sample at or before a moment."""
+        return bool(self.samples) and self.samples[0][0] <= moment
 
-    def at(self, moment: float) -> DemandThen:
-        """Return the demand at a moment; outside what is kept, at its end."""
+    def at(self, moment: float) -> PastDemand:
+        """Return the demand at a moment.
+
+        Outside the recorded time, that is the demand of the first or last sample.
+        """
         after_at, after = moment, None
-        for at, demand in reversed(self.told):
+        for at, demand in reversed(self.samples):
             if at <= moment:
                 if after is None:
-                    return DemandThen(demand, demand, 0.0)
-                return DemandThen(demand, after, (moment - at) / (after_at - at))
+                    return PastDemand(demand, demand, 0.0)
+                return PastDemand(demand, after, (moment - at) / (after_at - at))
             after_at, after = at, demand
         first = after or {}
-        return DemandThen(first, first, 0.0)
+        return PastDemand(first, first, 0.0)
--- a/packages/gateway/plantainshed_gateway/gateway.py
+++ b/packages/gateway/plantainshed_gateway/gateway.py
@@ -20,7 +20,7 @@
 from .lookup import LookupTable
 from .members import Members
 from .pauses import PauseDetector
-from .peer_messages import PeerMessages
+from .peer_messages import PeerMessageHandler
 from .peers import Peers
 from .placement import Placement
 from .poison import PoisonTracker
@@ -120,12 +120,12 @@
                 collection,
                 self._on_change,
                 context.log,
-                self.speakers.are_in_touch,
+                self.speakers.do_speakers_reach_store,
             )
             for collection in FOLLOWED
         }
         self.freshness = FreshnessPoller(
-            self.followers, self.speakers.is_first_in_touch, settings.vm
+            self.followers, self.speakers.is_first_to_reach_store, settings.vm
         )
         self.state_applier = StateApplier(
             surroundings.decoder,
@@ -135,7 +135,7 @@
             self.limits,
             context.log,
         )
-        self.messages = PeerMessages(
+        self.messages = PeerMessageHandler(
             self.peers,
             self.members,
             self.speakers,
@@ -220,13 +220,13 @@
             incarnation=self.context.incarnation,
             number=self.heartbeat_number,
             state=self.state,
-            known=known,
+            known_vm_count=known,
             weight=settings.link_mbps,
-            is_in_touch=all(f.is_connected for f in self.followers.values()),
-            callers=settings.listen.callers,
-            control=settings.listen.control,
-            newest=newest,
-            use=use,
+            is_store_reachable=all(f.is_connected for f in self.followers.values()),
+            caller_address=settings.listen.callers,
+            control_address=settings.listen.control,
+            newest_revisions=newest,
+            usage=use,
             deaths=self.poison.recent_crashes(),
         )
 
@@ -235,10 +235,10 @@
             name.value: replica.changed_at_revision
             for name, replica in self.replicas.items()
         }
-        return self._own_heartbeat(newest, self.quotas.use(), self.members.count)
+        return self._own_heartbeat(newest, self.quotas.usage(), self.members.count)
 
     async def _on_message(self, message: Message, ip: str):
-        await self.messages.take(message, ip)
+        await self.messages.handle(message, ip)
 
     async def _sync_vms(self):
         """Register this VM in the store, and periodically list the other VMs."""
@@ -292,7 +292,7 @@
             paused_s = pauses.check(UPKEEP_S)
             if paused_s:
                 await self._catch_up_after(paused_s)
-            self.quotas.divide()
+            self.quotas.recompute_shares()
             self.registry.drop_expired()
             self.connections.close_idle(set(self.registry.states))
             self.distance_prober.measure_unknown(self._nursery)
--- a/packages/gateway/plantainshed_gateway/heartbeats.py
+++ b/packages/gateway/plantainshed_gateway/heartbeats.py
@@ -1,8 +1,8 @@
-"""What VMs tell each other about themselves and their failure domains.
+"""Messages in which VMs report their own state and that of their failure domains.
 
-Inside a failure domain each VM hears each other one in full. Between domains
-pass only summaries, so that what a VM sends and takes in follows the size of
-its domain and not that of the fleet.
+Inside a failure domain, each VM receives the full heartbeats of all others. Only
+summaries are sent between domains, so the traffic of a VM grows with the size of its
+domain and not with the size of the fleet.
 """
 
 from enum import StrEnum
@@ -12,7 +12,7 @@
 
 
 class VmState(StrEnum):
-    """What a VM is doing."""
+    """Lifecycle state of a VM."""
 
     STARTING = "starting"
     READY = "ready"
@@ -20,17 +20,17 @@
 
 
 @frozen
-class Use:
-    """What a VM uses of one workspace's quota.
+class QuotaUsage:
+    """A VM's usage of one workspace's quota.
 
     Parameters
     ----------
     demand : float
-        Requests a second that its callers ask for.
+        Requests per second from its callers.
     share : float
-        Part of the quota that it allows itself, from 0 to 1.
+        Share of the quota that it uses, from 0 to 1.
     level : float
-        Tokens that it has at hand.
+        Tokens in its bucket.
     """
 
     demand: float
@@ -40,32 +40,32 @@
 
 @frozen
 class Heartbeat:
-    """One VM's news of itself.
+    """State of one VM, sent by the VM itself.
 
     Parameters
     ----------
     vm, failure_domain, region : str
     incarnation : int
-        Grows with each start of the VM's process.
+        Increases with each start of the VM's process.
     number : int
-        Grows with each heartbeat of an incarnation.
+        Increases with each heartbeat of an incarnation.
     state : VmState
-    callers : str
+    caller_address : str
         ``IP:PORT`` for callers.
-    control : str
+    control_address : str
         ``IP:PORT`` for other VMs.
-    known : int
-        Number of VMs that it knows, itself included.
+    known_vm_count : int
+        Number of VMs that it knows, including itself.
     weight : float
-        What its link carries, in Mbit/s.
-    is_in_touch : bool
+        Bandwidth of its link in Mbit/s.
+    is_store_reachable : bool
         Whether the store answered its last calls.
-    newest : dict of str to int
+    newest_revisions : dict of str to int
         Revision of the newest change that it knows, by collection.
-    use : dict of str to Use
-        By workspace.
+    usage : dict of str to QuotaUsage
+        Quota usage by workspace.
     deaths : tuple of (str, str)
-        Fingerprints of requests, and the target that died under each.
+        Fingerprints of requests, each with a target that crashed while running it.
     """
 
     vm: str
@@ -74,30 +74,30 @@
     incarnation: int
     number: int
     state: VmState
-    callers: str
-    control: str
-    known: int = 1
+    caller_address: str
+    control_address: str
+    known_vm_count: int = 1
     weight: float = 1.0
-    is_in_touch: bool = False
-    newest: dict[str, int] = field(factory=dict)
-    use: dict[str, Use] = field(factory=dict)
+    is_store_reachable: bool = False
+    newest_revisions: dict[str, int] = field(factory=dict)
+    usage: dict[str, QuotaUsage] = field(factory=dict)
     deaths: tuple[tuple[str, str], ...] = ()
 
 
 @frozen
 class VmSummary:
-    """A VM as its failure domain's speaker names it to others.
+    """State of a VM in its failure domain's summary.
 
     Parameters
     ----------
     vm, ip : str
     incarnation, number : int
-        Of the newest heartbeat.
+        From the newest heartbeat.
     state : VmState
-    callers : str
+    caller_address : str
     weight : float
     age_s : float
-        Time since that heartbeat was heard.
+        Time since that heartbeat was received.
     """
 
     vm: str
@@ -105,55 +105,56 @@
     incarnation: int
     number: int
     state: VmState
-    callers: str
+    caller_address: str
     weight: float
     age_s: float
 
 
 @frozen
-class UseSummary:
-    """What a failure domain uses of one workspace's quota.
+class UsageSummary:
+    """A failure domain's usage of one workspace's quota.
 
     Parameters
     ----------
     demand, share : float
         Sums over the VMs that are alive.
-    kept : float
-        Shares that silent VMs had; they may still use them.
+    silent_share : float
+        Last known shares of silent VMs, which may still use them.
     level : float
-        Tokens at the VM that has most.
+        Tokens on the VM that has the most.
     lender : str
         IP address of that VM.
     """
 
     demand: float
     share: float
-    kept: float
+    silent_share: float
     level: float
     lender: str
 
 
 @frozen
-class DomainNews:
-    """A failure domain's state, as one of its VMs tells other domains.
+class DomainSummary:
+    """Summary of a failure domain's state, sent by one of its VMs to other domains.
 
     Parameters
     ----------
     failure_domain, region : str
     speaker : str
-        VM that speaks.
+        VM that sent the summary.
     incarnation, number : int
-        Of its news; higher ones are newer.
-    control : str
-        Speaker's ``IP:PORT`` for other VMs.
+        Version of the summary. Higher ones are newer.
+    control_address : str
+        The speaker's ``IP:PORT`` for other VMs.
     age_s : float
-        Age of the oldest heartbeat that the sums rest on.
+        Age of the oldest heartbeat in the sums.
     vms : tuple of VmSummary
-    newest : dict of str to int
+    newest_revisions : dict of str to int
         Revision of the newest change that the speaker knows, by collection.
-    use : dict of str to UseSummary
-        By workspace.
+    usage : dict of str to UsageSummary
+        Quota usage by workspace.
     deaths : tuple of (str, str)
+        See `Heartbeat`.
     """
 
     failure_domain: str
@@ -161,22 +162,22 @@
     speaker: str
     incarnation: int
     number: int
-    control: str
+    control_address: str
     age_s: float
     vms: tuple[VmSummary, ...] = ()
-    newest: dict[str, int] = field(factory=dict)
-    use: dict[str, UseSummary] = field(factory=dict)
+    newest_revisions: dict[str, int] = field(factory=dict)
+    usage: dict[str, UsageSummary] = field(factory=dict)
     deaths: tuple[tuple[str, str], ...] = ()
 
 
 @frozen
-class Bundle:
-    """News of several failure domains, passed on inside one.
+class SummaryBundle:
+    """Summaries of several failure domains, relayed inside one.
 
     Parameters
     ----------
-    news : tuple
-        `DomainNews`; as it was received, still in the form of a datagram.
+    summaries : tuple
+        `DomainSummary` objects, or `PackedSummary` objects after decoding a datagram.
     """
 
-    news: tuple[Any, ...]
+    summaries: tuple[Any, ...]
--- a/packages/gateway/plantainshed_gateway/lookup.py
+++ b/packages/gateway/plantainshed_gateway/lookup.py
@@ -42,4 +42,4 @@
         chosen = local or ready
         if len(chosen) > MAX_ADDRESSES:
             chosen = self.random.sample(chosen, MAX_ADDRESSES)
-        return [beat.callers for beat in chosen]
+        return [beat.caller_address for beat in chosen]
--- a/packages/gateway/plantainshed_gateway/members.py
+++ b/packages/gateway/plantainshed_gateway/members.py
@@ -1,7 +1,8 @@
-"""Which VMs there are, which are alive, and what they use of shared limits.
+"""Known VMs, whether they are alive, and their usage of quotas.
 
-VMs of the own failure domain are heard directly, with all that they say. Others
-are known from the news of their domains, which name each VM and sum up the rest.
+A VM receives the full heartbeats of the VMs in its own failure domain. It knows the
+others from the summaries of their failure domains, which list each VM and contain the
+sums of the remaining data.
 """
 
 from collections.abc import Mapping
@@ -9,146 +10,151 @@
 import trio
 from attrs import define, field, frozen
 
-from .demand import DemandThen, ToldDemand
+from .demand import DemandHistory, PastDemand
 from .heartbeats import (
-    DomainNews,
+    DomainSummary,
     Heartbeat,
-    Use,
-    UseSummary,
+    QuotaUsage,
+    UsageSummary,
     VmState,
     VmSummary,
 )
 
-# Time without a heartbeat after which a VM of the own failure domain counts as
-# silent: four of them may be lost.
-ALIVE_S = 2.6
-# The same for other domains, whose news comes once a second and is passed on
-# within half of one. Look-ups must not name a VM that was killed 6 s ago.
-FAR_ALIVE_S = 3.8
-# Time after a domain's news in which that of its other speaker is left aside:
-# a little less than the second between two of one speaker's.
-RECENT_S = 0.9
-# How long a VM that was listed, and not heard yet, counts as about to be: its
-# first heartbeat comes within what a start and the news of its domain take.
-EXPECTED_S = 4.0
-# How long the list of ready VMs is used before it is made again.
-READY_KEPT_S = 0.1
-# How long a silent VM is still sent heartbeats and keeps its part of limits.
-FORGET_S = 300.0
+# Time without a heartbeat after which a VM of the own failure domain counts as silent.
+# This allows for four lost heartbeats.
+HEARTBEAT_TIMEOUT_S = 2.6
+# The timeout for VMs of other domains, whose summaries are sent once a second and
+# relayed within half a second. Look-ups must not return a VM that was killed 6 s ago.
+FAR_HEARTBEAT_TIMEOUT_S = 3.8
+# Time after a domain's summary during which a summary from the domain's other speaker
+# is ignored. It is slightly shorter than the second between two summaries of one
+# speaker.
+DUPLICATE_SUMMARY_S = 0.9
+# Time for which a listed VM that has not been heard yet is expected to send its first
+# heartbeat. It covers the start of a VM and the delivery of its domain's summary.
+FIRST_HEARTBEAT_WAIT_S = 4.0
+# Time for which the list of ready VMs is cached.
+READY_CACHE_S = 0.1
+# Time for which a silent VM is still sent heartbeats and keeps its share of limits.
+FORGET_AFTER_S = 300.0
 
 
 @define
 class Member:
-    """Another VM as this one knows it.
+    """Another VM as this VM knows it.
 
     Attributes
     ----------
     ip, failure_domain : str
-        Where it is.
     heartbeat : Heartbeat or None
-        The newest one; without its use of quotas if it is in another failure
-        domain, and None if it was only listed.
+        The newest heartbeat. It has no quota usage if the VM is in another failure
+        domain, and is None if the VM was only listed.
     heard_at : float
-        When that was heard, by this VM or by the one that told.
-    alive_s : float
-        Time after that for which it counts as alive.
-    told : ToldDemand
-        By its heartbeats; empty if it is in another failure domain.
+        When the heartbeat was received, by this VM or by the speaker that reported it.
+    timeout_s : float
+        Time after `heard_at` for which the VM counts as alive.
+    demand_history : DemandHistory
+        Demand in its heartbeats. Empty if the VM is in another failure domain.
     """
 
     ip: str
     failure_domain: str
     heartbeat: Heartbeat | None = None
     heard_at: float = float("-inf")
-    alive_s: float = ALIVE_S
+    timeout_s: float = HEARTBEAT_TIMEOUT_S
     known_since: float = field(factory=trio.current_time)
-    told: ToldDemand = field(factory=ToldDemand)
+    demand_history: DemandHistory = field(factory=DemandHistory)
 
     @property
     def is_alive(self) -> bool:
-        """Whether it was heard a moment ago."""
-        return trio.current_time() - self.heard_at < self.alive_s
+        """Whether the newest heartbeat is recent enough."""
+        return trio.current_time() - self.heard_at < self.timeout_s
 
     @property
     def is_expected(self) -> bool:
-        """Whether it was listed a moment ago and may be about to be heard."""
+        """Whether it was listed recently and has not sent a heartbeat yet."""
         if self.heartbeat is not None:
             return False
-        return trio.current_time() - self.known_since < EXPECTED_S
+        return trio.current_time() - self.known_since < FIRST_HEARTBEAT_WAIT_S
 
     @property
     def is_forgotten(self) -> bool:
         """Whether it has been silent for so long that it counts as gone."""
-        return trio.current_time() - max(self.heard_at, self.known_since) > FORGET_S
+        return (
+            trio.current_time() - max(self.heard_at, self.known_since) > FORGET_AFTER_S
+        )
 
 
 @define
 class FarDomain:
-    """Another failure domain's newest news, and when it was told.
+    """The newest summary of another failure domain.
 
     Attributes
     ----------
-    order : dict of str to (int, int)
-        Incarnation and number of the newest news, by speaker.
-    told : ToldDemand
-        By its news.
+    summary : DomainSummary
+    heard_at : float
+        When this VM received the summary.
+    latest_by_speaker : dict of str to (int, int)
+        Incarnation and number of the newest summary from each speaker.
+    demand_history : DemandHistory
+        Demand in its summaries.
     """
 
-    news: DomainNews
+    summary: DomainSummary
     heard_at: float
-    order: dict[str, tuple[int, int]] = field(factory=dict)
-    told: ToldDemand = field(factory=ToldDemand)
+    latest_by_speaker: dict[str, tuple[int, int]] = field(factory=dict)
+    demand_history: DemandHistory = field(factory=DemandHistory)
 
     @property
-    def said_at(self) -> float:
-        """When the oldest heartbeat was heard that its sums rest on."""
-        return self.heard_at - self.news.age_s
+    def oldest_heartbeat_at(self) -> float:
+        """When the oldest heartbeat in the summary's sums was received."""
+        return self.heard_at - self.summary.age_s
 
     @property
     def is_recent(self) -> bool:
-        """Whether other news of it than its speaker's next need not be taken."""
-        return trio.current_time() - self.heard_at < RECENT_S
+        """Whether a summary from the domain's other speaker would be redundant."""
+        return trio.current_time() - self.heard_at < DUPLICATE_SUMMARY_S
 
     @property
     def is_fresh(self) -> bool:
-        """Whether the domain was heard of a moment ago."""
-        return trio.current_time() - self.heard_at < FAR_ALIVE_S
+        """Whether the summary is recent enough for the domain to count as alive."""
+        return trio.current_time() - self.heard_at < FAR_HEARTBEAT_TIMEOUT_S
 
 
 @frozen
-class UseTotals:
-    """What all other VMs use of one workspace's quota.
+class UsageTotals:
+    """Usage of one workspace's quota by all other VMs.
 
     Parameters
     ----------
     demand, share : float
-        Sums over VMs that are alive.
-    demand_then : float
-        The same as it was at the moment of the view.
-    kept : float
-        Shares of silent VMs; they may live behind a partition and use them.
+        Sums over the VMs that are alive.
+    past_demand : float
+        The sum of demand at the moment of the view.
+    silent_share : float
+        Shares of silent VMs. They may be alive behind a partition and still use them.
     """
 
     demand: float
-    demand_then: float
+    past_demand: float
     share: float
-    kept: float
+    silent_share: float
 
 
 class Members:
-    """All VMs that this one knows, itself aside.
+    """All VMs that this VM knows, except itself.
 
     Parameters
     ----------
     own : Heartbeat
-        Replaced with each heartbeat that is sent.
+        This VM's own heartbeat, replaced each time one is sent.
 
     Attributes
     ----------
     far : dict of str to FarDomain
         Other failure domains, by name.
     is_listed : bool
-        Whether the store, or another VM, has told which VMs there are.
+        Whether the store or another VM has supplied a list of the VMs.
     """
 
     def __init__(self, own: Heartbeat):
@@ -158,10 +164,10 @@
         self.is_listed = False
         self._ready_vms: tuple[float, list[str]] = (float("-inf"), [])
 
-    # What this VM is told.
+    # Updates.
 
     def note_listed(self, vm: str, ip: str, failure_domain: str):
-        """Take in a VM that the store, or another VM, names."""
+        """Add a VM that the store or another VM lists."""
         if vm == self.own.vm:
             return
         member = self.table.get(vm)
@@ -170,87 +176,95 @@
         elif not member.is_alive:
             member.ip = ip
 
-    def take(self, heartbeat: Heartbeat, ip: str) -> bool:
-        """Take in a heartbeat; tell whether it is newer than what is known."""
+    def record_heartbeat(self, heartbeat: Heartbeat, ip: str) -> bool:
+        """Record a heartbeat; return whether it is newer than the known one."""
         if heartbeat.vm == self.own.vm:
             return False
-        if not self._take(heartbeat, ip, 0.0, ALIVE_S):
+        if not self._record(heartbeat, ip, 0.0, HEARTBEAT_TIMEOUT_S):
             return False
-        told = self.table[heartbeat.vm].told
-        told.note(trio.current_time(), _demand_of(heartbeat.use))
+        demand_history = self.table[heartbeat.vm].demand_history
+        demand_history.add(trio.current_time(), _demand_by_workspace(heartbeat.usage))
         return True
 
-    def _take(self, beat: Heartbeat, ip: str, age_s: float, alive_s: float) -> bool:
+    def _record(self, beat: Heartbeat, ip: str, age_s: float, timeout_s: float) -> bool:
         member = self.table.setdefault(beat.vm, Member(ip, beat.failure_domain))
         known = member.heartbeat
-        if known is not None and _order(beat) < _order(known):
+        if known is not None and _version(beat) < _version(known):
             return False
         heard_at = trio.current_time() - age_s
-        if known is not None and _order(beat) == _order(known):
-            # Told again by another VM, which may have heard it later.
+        if known is not None and _version(beat) == _version(known):
+            # The same heartbeat was reported by another VM, which may have received it
+            # later.
             member.heard_at = max(member.heard_at, heard_at)
             return False
         member.ip, member.failure_domain = ip, beat.failure_domain
         member.heartbeat = beat
         member.heard_at = heard_at
-        member.alive_s = alive_s
+        member.timeout_s = timeout_s
         return True
 
-    def take_news(self, news: DomainNews) -> bool:
-        """Take in another domain's news; tell whether it is newer than known.
+    def record_summary(self, summary: DomainSummary) -> bool:
+        """Record another domain's summary; return whether it is newer than known.
 
-        Whoever has it packed asks `wants_news` first, which spares decoding it.
+        For a packed summary, callers check `wants_summary` first to avoid decoding it.
         """
-        order = news.incarnation, news.number
-        if not self.wants_news(news.failure_domain, news.speaker, order):
+        version = summary.incarnation, summary.number
+        if not self.wants_summary(summary.failure_domain, summary.speaker, version):
             return False
-        known = self.far.get(news.failure_domain)
-        orders = known.order if known else {}
-        orders[news.speaker] = order
-        told = known.told if known else ToldDemand()
-        domain = FarDomain(news, trio.current_time(), orders, told)
-        told.note(domain.said_at, _demand_of(news.use))
-        self.far[news.failure_domain] = domain
-        for summary in news.vms:
-            if summary.vm != self.own.vm:
-                beat = _beat_of(summary, news)
-                self._take(beat, summary.ip, summary.age_s, FAR_ALIVE_S)
+        known = self.far.get(summary.failure_domain)
+        latest_by_speaker = known.latest_by_speaker if known else {}
+        latest_by_speaker[summary.speaker] = version
+        demand_history = known.demand_history if known else DemandHistory()
+        domain = FarDomain(
+            summary, trio.current_time(), latest_by_speaker, demand_history
+        )
+        demand_history.add(
+            domain.oldest_heartbeat_at, _demand_by_workspace(summary.usage)
+        )
+        self.far[summary.failure_domain] = domain
+        for vm_summary in summary.vms:
+            if vm_summary.vm != self.own.vm:
+                beat = _heartbeat_from(vm_summary, summary)
+                self._record(
+                    beat, vm_summary.ip, vm_summary.age_s, FAR_HEARTBEAT_TIMEOUT_S
+                )
         return True
 
-    def wants_news(
-        self, failure_domain: str, speaker: str, order: tuple[int, int]
+    def wants_summary(
+        self, failure_domain: str, speaker: str, version: tuple[int, int]
     ) -> bool:
-        """Tell whether a domain's news is newer than what is known."""
+        """Return whether a summary is newer than the known one and not redundant."""
         if failure_domain == self.own.failure_domain:
             return False
         known = self.far.get(failure_domain)
         if known is None:
             return True
-        if known.is_recent and known.news.speaker != speaker:
-            # Its other speaker has just told the same; one in time is enough.
+        if known.is_recent and known.summary.speaker != speaker:
+            # The domain's other speaker has just sent the same data. One summary per
+            # interval is enough.
             return False
-        return order > known.order.get(speaker, (-1, -1))
+        return version > known.latest_by_speaker.get(speaker, (-1, -1))
 
     def forget_gone(self) -> list[str]:
-        """Forget VMs that have long been silent; return their names."""
+        """Remove VMs that have been silent for long; return their names."""
         gone = [vm for vm, member in self.table.items() if member.is_forgotten]
         for vm in gone:
             del self.table[vm]
         now = trio.current_time()
         for name, domain in list(self.far.items()):
-            if now - domain.heard_at > FORGET_S:
+            if now - domain.heard_at > FORGET_AFTER_S:
                 del self.far[name]
         return gone
 
-    # Who is there.
+    # Membership.
 
     def is_alive(self, vm: str) -> bool:
-        """Tell whether another VM was heard a moment ago."""
+        """Return whether another VM is alive."""
         member = self.table.get(vm)
         return member is not None and member.is_alive
 
     def alive(self) -> list[Heartbeat]:
-        """Return the newest heartbeats of this VM and all that are alive."""
+        """Return the newest heartbeats of this VM and of all others that are alive."""
         heard = [
             member.heartbeat
             for member in self.table.values()
@@ -259,142 +273,149 @@
         return [self.own, *heard]
 
     def ready(self) -> list[Heartbeat]:
-        """Return those that take callers."""
+        """Return the heartbeats of VMs that accept callers."""
         return [beat for beat in self.alive() if beat.state is VmState.READY]
 
     def ready_vms(self) -> list[str]:
-        """Return their names, as they were a moment ago: asked for often."""
+        """Return the names of ready VMs from a short-lived cache."""
         at, names = self._ready_vms
-        if trio.current_time() - at > READY_KEPT_S:
+        if trio.current_time() - at > READY_CACHE_S:
             names = [beat.vm for beat in self.ready()]
             self._ready_vms = trio.current_time(), names
         return names
 
     def near(self) -> list[Member]:
-        """Return the other VMs of the own failure domain, silent ones too."""
+        """Return the other VMs of the own failure domain, including silent ones."""
         return self.in_domain(self.own.failure_domain)
 
     def in_domain(self, failure_domain: str) -> list[Member]:
-        """Return the other VMs of a failure domain, silent ones too."""
+        """Return the other VMs of a failure domain, including silent ones."""
         return [m for m in self.table.values() if m.failure_domain == failure_domain]
 
     def not_heard_yet(self) -> int:
-        """Return how many VMs were listed a moment ago and not heard since."""
+        """Return the number of VMs that are expected to send a first heartbeat."""
         return sum(1 for member in self.table.values() if member.is_expected)
 
     def heard_count(self) -> int:
-        """Return how many VMs were ever heard, this one included."""
+        """Return the number of VMs ever heard, including this one."""
         return 1 + sum(1 for m in self.table.values() if m.heartbeat is not None)
 
     @property
     def count(self) -> int:
-        """Number of VMs that exist, silent ones and this one included."""
+        """Number of known VMs, including silent ones and this one."""
         return 1 + len(self.table)
 
-    # Their use of quotas.
+    # Quota usage.
 
-    def use_view(self, moment: float) -> "UseView":
-        """Return what all other VMs use of quotas now, and asked for at a moment."""
+    def usage_view(self, moment: float) -> "UsageView":
+        """Return the current quota usage of all other VMs and their past demand."""
         near = [m for m in self.near() if m.heartbeat is not None]
-        return UseView(near, list(self.far.values()), moment)
+        return UsageView(near, list(self.far.values()), moment)
 
     def oldest_heard_at(self) -> float:
-        """Return when the oldest news that `use_of` counts was said."""
+        """Return when the oldest report that `usage_view` uses was sent."""
         heard = [m.heard_at for m in self.near() if m.is_alive]
-        heard += [d.said_at for d in self.far.values() if d.is_fresh]
+        heard += [d.oldest_heartbeat_at for d in self.far.values() if d.is_fresh]
         return min(heard, default=trio.current_time())
 
 
-class UseView:
-    """What other VMs use of quotas, as it was heard up to a moment.
+class UsageView:
+    """Quota usage of all other VMs.
 
     Parameters
     ----------
     near : list of Member
-        Of the own failure domain.
+        VMs of the own failure domain.
     far : list of FarDomain
     moment : float
-        For which demand is told too.
+        Time for which `UsageTotals.past_demand` is computed.
     """
 
     def __init__(self, near: list[Member], far: list[FarDomain], moment: float):
-        self.near = UseSums(near)
-        self.far = [(domain.is_fresh, domain.news.use) for domain in far]
+        self.near = UsageSums(near)
+        self.far = [(domain.is_fresh, domain.summary.usage) for domain in far]
         alive = [m for m in near if m.is_alive]
-        self.near_then = {m.heartbeat.vm: m.told.at(moment) for m in alive}
-        far_then = [d.told.at(moment) for d in far if d.is_fresh]
-        self.then: list[DemandThen] = [*self.near_then.values(), *far_then]
+        self.near_past_demand = {
+            m.heartbeat.vm: m.demand_history.at(moment) for m in alive
+        }
+        far_past_demand = [d.demand_history.at(moment) for d in far if d.is_fresh]
+        self.past_demands: list[PastDemand] = [
+            *self.near_past_demand.values(),
+            *far_past_demand,
+        ]
 
-    def of(self, workspace: str) -> UseTotals:
-        """Return the totals for one workspace."""
+    def of(self, workspace: str) -> UsageTotals:
+        """Return the totals of one workspace."""
         near = self.near.of(workspace)
-        demand, share, kept = near.demand, near.share, near.kept
-        for is_fresh, uses in self.far:
-            use = uses.get(workspace)
-            if use is None:
+        demand, share, silent_share = near.demand, near.share, near.silent_share
+        for is_fresh, usages in self.far:
+            usage = usages.get(workspace)
+            if usage is None:
                 continue
-            kept += use.kept
+            silent_share += usage.silent_share
             if is_fresh:
-                demand += use.demand
-                share += use.share
+                demand += usage.demand
+                share += usage.share
             else:
-                kept += use.share
-        demand_then = sum(then.of(workspace) for then in self.then)
-        return UseTotals(demand, demand_then, share, kept)
+                silent_share += usage.share
+        past_demand = sum(past.of(workspace) for past in self.past_demands)
+        return UsageTotals(demand, past_demand, share, silent_share)
 
 
-class UseSums:
-    """Sums over VMs of one failure domain, by workspace.
+class UsageSums:
+    """Sums of quota usage over VMs of one failure domain, by workspace.
 
     Parameters
     ----------
     members : list of Member
-        That were heard.
+        VMs that have sent a heartbeat.
     """
 
     def __init__(self, members: list[Member]):
-        self.uses = [(m.ip, m.is_alive, m.heartbeat.use) for m in members]
+        self.usages = [(m.ip, m.is_alive, m.heartbeat.usage) for m in members]
         self.alive = [m.heartbeat for m in members if m.is_alive]
 
     def workspaces(self) -> set[str]:
-        """Return the workspaces whose quotas VMs that are alive use."""
-        return {name for beat in self.alive for name in beat.use}
+        """Return the workspaces whose quotas live VMs use."""
+        return {name for beat in self.alive for name in beat.usage}
 
-    def of(self, workspace: str) -> UseSummary:
-        """Return what they use of a workspace's quota."""
-        demand = share = kept = level = 0.0
+    def of(self, workspace: str) -> UsageSummary:
+        """Return the usage of one workspace's quota."""
+        demand = share = silent_share = level = 0.0
         lender = ""
-        for ip, is_alive, uses in self.uses:
-            use = uses.get(workspace)
-            if use is None:
+        for ip, is_alive, usages in self.usages:
+            usage = usages.get(workspace)
+            if usage is None:
                 continue
             if not is_alive:
-                kept += use.share
+                silent_share += usage.share
                 continue
-            demand += use.demand
-            share += use.share
-            if use.level > level:
-                level, lender = use.level, ip
-        return UseSummary(demand, share, kept, level, lender)
+            demand += usage.demand
+            share += usage.share
+            if usage.level > level:
+                level, lender = usage.level, ip
+        return UsageSummary(demand, share, silent_share, level, lender)
 
 
-def _beat_of(summary: VmSummary, news: DomainNews) -> Heartbeat:
+def _heartbeat_from(vm: VmSummary, summary: DomainSummary) -> Heartbeat:
     return Heartbeat(
-        vm=summary.vm,
-        failure_domain=news.failure_domain,
-        region=news.region,
-        incarnation=summary.incarnation,
-        number=summary.number,
-        state=summary.state,
-        callers=summary.callers,
-        control="",
-        weight=summary.weight,
+        vm=vm.vm,
+        failure_domain=summary.failure_domain,
+        region=summary.region,
+        incarnation=vm.incarnation,
+        number=vm.number,
+        state=vm.state,
+        caller_address=vm.caller_address,
+        control_address="",
+        weight=vm.weight,
     )
 
 
-def _demand_of(use: Mapping[str, Use | UseSummary]) -> dict[str, float]:
-    return {name: one.demand for name, one in use.items()}
+def _demand_by_workspace(
+    usage: Mapping[str, QuotaUsage | UsageSummary],
+) -> dict[str, float]:
+    return {name: one.demand for name, one in usage.items()}
 
 
-def _order(heartbeat: Heartbeat) -> tuple[int, int]:
+def _version(heartbeat: Heartbeat) -> tuple[int, int]:
     return heartbeat.incarnation, heartbeat.number
--- a/packages/gateway/plantainshed_gateway/serving.py
+++ b/packages/gateway/plantainshed_gateway/serving.py
@@ -320,7 +320,7 @@
         """
         if not call.may_have_run:
             if call.workspace is not None:
-                self.admission.quotas.give_back(call.workspace, call.quota_taken_at)
+                self.admission.quotas.return_token(call.workspace, call.quota_taken_at)
             return Refusal(
                 HTTPStatus.SERVICE_UNAVAILABLE, reason, message, NO_ROOM_RETRY_AFTER_S
             )
--- a/packages/gateway/plantainshed_gateway/speakers.py
+++ b/packages/gateway/plantainshed_gateway/speakers.py
@@ -1,13 +1,14 @@
-"""Which VMs speak for their failure domain, to whom, and what they say.
+"""Exchange of summaries between failure domains by elected speakers.
 
-Load that it answers: a fleet where each VM tells each other one everything.
-With 80 VMs and 80 workspaces that was 100 datagrams a second and VM, 2 Mbit/s
-each way, and four fifths of all bytes between regions. Here two VMs of each domain
-exchange summaries with two of each other domain and pass them on inside.
+The load this is designed for: a fleet in which each VM would send everything to each
+other VM. With 80 VMs and 80 workspaces, that was 100 datagrams per second and VM, 2
+Mbit/s in each direction, and four fifths of all bytes between regions. Instead, two VMs
+of each domain exchange summaries with two VMs of each other domain and relay them
+inside their own.
 
-All VMs compute the same speakers from who is alive, preferring those with wide
-links. Two speak, each to its counterpart by rank, so that one lost or paused VM
-makes no domain silent.
+All VMs compute the same speakers from the set of live VMs, with a preference for VMs
+with high link bandwidth. There are two speakers, and each sends to the speaker of the
+same rank in the other domain, so a single lost or paused VM does not silence a domain.
 """
 
 import itertools
@@ -18,30 +19,30 @@
 from plantainshed_coordination.digests import weighted_score
 
 from .heartbeats import (
-    Bundle,
-    DomainNews,
+    DomainSummary,
     Heartbeat,
-    UseSummary,
+    SummaryBundle,
+    UsageSummary,
     VmState,
     VmSummary,
 )
-from .members import Member, Members, UseSums
+from .members import Member, Members, UsageSums
 
-# VMs of a failure domain that speak for it.
-SPEAKERS = 2
-# News in one datagram that is passed on. 8 domains of 50 VMs and 80 workspaces
-# are some 50 KB, 15 KB compressed, of the 60 KB that a datagram may have.
-BUNDLED = 8
+# Number of speakers of a failure domain.
+SPEAKERS_PER_DOMAIN = 2
+# Number of summaries in one relayed datagram. 8 domains of 50 VMs and 80 workspaces
+# take about 50 KB, or 15 KB compressed; a datagram may have 60 KB.
+SUMMARIES_PER_BUNDLE = 8
 
 
 @define
-class _Heard:
-    news: DomainNews
+class _QueuedSummary:
+    summary: DomainSummary
     heard_at: float
 
 
 class Speakers:
-    """This VM's part in telling failure domains about each other.
+    """Elects speakers and builds the summaries that they exchange.
 
     Parameters
     ----------
@@ -52,43 +53,46 @@
         self.members = members
         self._numbers = itertools.count(1)
         self._turn = 0
-        self._to_pass_on: dict[str, _Heard] = {}
+        self._relay_queue: dict[str, _QueuedSummary] = {}
         self._leaving: dict[str, set[str]] = {}
 
     def names(self) -> list[str]:
-        """Return the VMs that speak for this VM's failure domain."""
+        """Return the names of the speakers of this VM's failure domain."""
         own = self.members.own
         alive = [m.heartbeat for m in self.members.near() if _is_candidate(m)]
         candidates = [own, *alive] if own.state is not VmState.LEAVING else alive
-        return _ranked(own.failure_domain, candidates)[:SPEAKERS]
+        return _ranked(own.failure_domain, candidates)[:SPEAKERS_PER_DOMAIN]
 
     @property
     def is_speaker(self) -> bool:
-        """Whether this VM speaks for its failure domain."""
+        """Whether this VM is a speaker of its failure domain."""
         return self.members.own.vm in self.names()
 
-    def are_in_touch(self) -> bool:
-        """Tell whether other VMs watch the store for this one.
+    def do_speakers_reach_store(self) -> bool:
+        """Return whether another VM watches the store on behalf of this one.
 
-        They do if they speak for the failure domain and the store answers them.
+        That is the case if this VM is not a speaker and the store answers a speaker.
         """
         names = self.names()
         if self.members.own.vm in names:
             return False
         table = self.members.table
-        return any(table[name].heartbeat.is_in_touch for name in names)
+        return any(table[name].heartbeat.is_store_reachable for name in names)
 
-    def is_first_in_touch(self) -> bool:
-        """Tell whether no VM that speaks before this one hears from the store."""
+    def is_first_to_reach_store(self) -> bool:
+        """Return whether this VM is the speaker that polls the store.
+
+        That is the case if the store answers no speaker that is ranked before this VM.
+        """
         for name in self.names():
             if name == self.members.own.vm:
                 return True
-            if self.members.table[name].heartbeat.is_in_touch:
+            if self.members.table[name].heartbeat.is_store_reachable:
                 return False
         return False
 
     def receivers(self) -> list[str]:
-        """Return the IP addresses that this VM's news goes to, one a domain."""
+        """Return the IP addresses to send summaries to, one per other domain."""
         own = self.members.own
         names = self.names()
         if own.vm not in names:
@@ -106,60 +110,65 @@
     def _counterpart(self, domain: str, members: list[Member], rank: int) -> str:
         alive = [m for m in members if _is_candidate(m)]
         if not alive:
-            # Nothing is known of that domain: its VMs are told by turns, and
-            # whoever gets it passes it on.
+            # No VM of that domain is known to be alive. Its VMs are tried in turn, and
+            # the one that receives the summary relays it.
             return members[self._turn % len(members)].ip
         order = _ranked(domain, [m.heartbeat for m in alive])
         name = order[min(rank, len(order) - 1)]
         return self.members.table[name].ip
 
-    def make_news(self) -> DomainNews:
-        """Return this VM's failure domain's news."""
+    def make_summary(self) -> DomainSummary:
+        """Return a summary of this VM's failure domain."""
         own = self.members.own
         near = self.members.near()
         now = trio.current_time()
-        # This VM among the others, as they see it.
+        # This VM is included in the form in which the others see it.
         itself = Member(_ip_of(own), own.failure_domain, own, now)
         known = [itself, *(m for m in near if m.heartbeat is not None)]
         ages = [now - member.heard_at for member in known if member.is_alive]
-        names = {name for member in known for name in member.heartbeat.use}
-        sums = UseSums(known)
-        return DomainNews(
+        names = {name for member in known for name in member.heartbeat.usage}
+        sums = UsageSums(known)
+        return DomainSummary(
             failure_domain=own.failure_domain,
             region=own.region,
             speaker=own.vm,
             incarnation=own.incarnation,
             number=next(self._numbers),
-            control=own.control,
+            control_address=own.control_address,
             age_s=round(max(ages), 2),
-            vms=tuple(_summary(member, now) for member in known),
-            newest=own.newest,
-            use={name: _rounded(sums.of(name)) for name in names},
+            vms=tuple(_vm_summary(member, now) for member in known),
+            newest_revisions=own.newest_revisions,
+            usage={name: _rounded(sums.of(name)) for name in names},
             deaths=own.deaths,
         )
 
-    def note_to_pass_on(self, news: DomainNews):
-        """Keep another domain's news until it is passed on inside this one."""
-        self._to_pass_on[news.failure_domain] = _Heard(news, trio.current_time())
+    def queue_for_relay(self, summary: DomainSummary):
+        """Queue another domain's summary to be relayed inside this domain."""
+        self._relay_queue[summary.failure_domain] = _QueuedSummary(
+            summary, trio.current_time()
+        )
 
-    def is_urgent(self, news: DomainNews) -> bool:
-        """Tell whether news names a VM that has begun to leave.
+    def is_urgent(self, summary: DomainSummary) -> bool:
+        """Return whether a summary contains a VM that has just begun to leave.
 
-        Look-ups that go on naming it send callers to a VM about to end.
+        Look-ups that still return it would send callers to a VM that is about to stop.
         """
-        leaving = {vm.vm for vm in news.vms if vm.state is VmState.LEAVING}
-        before = self._leaving.get(news.failure_domain, set())
-        self._leaving[news.failure_domain] = leaving
+        leaving = {vm.vm for vm in summary.vms if vm.state is VmState.LEAVING}
+        before = self._leaving.get(summary.failure_domain, set())
+        self._leaving[summary.failure_domain] = leaving
         return bool(leaving - before)
 
-    def bundles(self) -> list[Bundle]:
-        """Return what is to be passed on now; it is not returned again."""
+    def take_bundles(self) -> list[SummaryBundle]:
+        """Return the queued summaries in bundles and clear the queue."""
         now = trio.current_time()
-        news = [_aged(h.news, now - h.heard_at) for h in self._to_pass_on.values()]
-        self._to_pass_on.clear()
+        summaries = [
+            _with_age_added(h.summary, now - h.heard_at)
+            for h in self._relay_queue.values()
+        ]
+        self._relay_queue.clear()
         return [
-            Bundle(tuple(news[first : first + BUNDLED]))
-            for first in range(0, len(news), BUNDLED)
+            SummaryBundle(tuple(summaries[first : first + SUMMARIES_PER_BUNDLE]))
+            for first in range(0, len(summaries), SUMMARIES_PER_BUNDLE)
         ]
 
 
@@ -169,13 +178,14 @@
 
 
 def _ranked(domain: str, beats: list[Heartbeat]) -> list[str]:
-    # Squared: of 14 VMs, two with 200 and twelve with 10 Mbit/s, a narrow one is
-    # then among the first two in 5 % of domains, in place of half (4000 drawn).
+    # Squaring the weight keeps VMs with low bandwidth from being elected. Among 14 VMs,
+    # two with 200 and twelve with 10 Mbit/s, a low-bandwidth VM is one of the first two
+    # in 5 % of domains instead of half of them (4000 drawn).
     scored = [(weighted_score(domain, b.vm, b.weight**2), b.vm) for b in beats]
     return [vm for _, vm in sorted(scored, reverse=True)]
 
 
-def _summary(member: Member, now: float) -> VmSummary:
+def _vm_summary(member: Member, now: float) -> VmSummary:
     beat = member.heartbeat
     return VmSummary(
         vm=beat.vm,
@@ -183,29 +193,29 @@
         incarnation=beat.incarnation,
         number=beat.number,
         state=beat.state,
-        callers=beat.callers,
+        caller_address=beat.caller_address,
         weight=beat.weight,
         age_s=round(now - member.heard_at, 2),
     )
 
 
-def _rounded(use: UseSummary) -> UseSummary:
+def _rounded(usage: UsageSummary) -> UsageSummary:
     return evolve(
-        use,
-        demand=round(use.demand, 2),
-        share=round(use.share, 4),
-        kept=round(use.kept, 4),
-        level=round(use.level, 1),
+        usage,
+        demand=round(usage.demand, 2),
+        share=round(usage.share, 4),
+        silent_share=round(usage.silent_share, 4),
+        level=round(usage.level, 1),
     )
 
 
-def _aged(news: DomainNews, seconds: float) -> DomainNews:
-    """Return news as it is to be told so much later."""
+def _with_age_added(summary: DomainSummary, seconds: float) -> DomainSummary:
+    """Return a summary with its ages increased by the given time."""
     if seconds < 0.01:
-        return news
-    vms = tuple(evolve(vm, age_s=round(vm.age_s + seconds, 2)) for vm in news.vms)
-    return evolve(news, age_s=round(news.age_s + seconds, 2), vms=vms)
+        return summary
+    vms = tuple(evolve(vm, age_s=round(vm.age_s + seconds, 2)) for vm in summary.vms)
+    return evolve(summary, age_s=round(summary.age_s + seconds, 2), vms=vms)
 
 
 def _ip_of(beat: Heartbeat) -> str:
-    return beat.callers.rpartition(":")[0]
+    return beat.caller_address.rpartition(":")[0]
--- a/packages/measure/plantainshed_measure/limits_model.py
+++ b/packages/measure/plantainshed_measure/limits_model.py
@@ -17,8 +17,8 @@
 from plantainshed_gateway.loans import Loans
 from plantainshed_gateway.members import Members
 from plantainshed_gateway.model import Workspace
-from plantainshed_gateway.peer_messages import PeerMessages
-from plantainshed_gateway.peers import HEARTBEAT_S, NEWS_EVERY, Peers
+from plantainshed_gateway.peer_messages import PeerMessageHandler
+from plantainshed_gateway.peers import HEARTBEAT_S, HEARTBEATS_PER_SUMMARY, Peers
 from plantainshed_gateway.poison import PoisonTracker
 from plantainshed_gateway.quota import Quotas
 from plantainshed_gateway.round_trips import RoundTrips
@@ -94,7 +94,7 @@
         self.peers.socket = fleet.network.open(place.ip)
         self.loans = Loans(self.quotas, self.members, self.peers.send, self.round_trips)
         self.admission = Admission(None, self.quotas, self.loans)
-        self.messages = PeerMessages(
+        self.messages = PeerMessageHandler(
             self.peers, self.members, self.speakers, self.loans, self.poison, {}, log
         )
         self.workspaces: dict[str, Workspace] = {}
@@ -132,7 +132,7 @@
         inbox, self.inbox = self.inbox, []
         self.is_thawed.set()
         for data, ip in inbox:
-            await self.peers.take(data, ip)
+            await self.peers.handle_datagram(data, ip)
 
     async def leave(self):
         """Announce that this VM is about to end."""
@@ -142,7 +142,7 @@
     async def take(self, data: bytes, ip: str):
         """Take in a datagram, once the process runs."""
         if self.is_thawed.is_set():
-            await self.peers.take(data, ip)
+            await self.peers.handle_datagram(data, ip)
         else:
             self.inbox.append((data, ip))
 
@@ -162,7 +162,7 @@
         self.fleet.record.asked[name].append(asked)
         if looks_s is not None:
             await trio.sleep(looks_s)
-            self.quotas.give_back(workspace, now)
+            self.quotas.return_token(workspace, now)
 
     def take_workspace(self, workspace: Workspace):
         """Put a workspace's quota in force."""
@@ -172,7 +172,7 @@
     async def _send_heartbeats(self):
         number = 0
         while True:
-            await self.peers.send_now(to_far=number % NEWS_EVERY == 0)
+            await self.peers.send_now(to_far=number % HEARTBEATS_PER_SUMMARY == 0)
             await trio.sleep(HEARTBEAT_S)
             await self.is_thawed.wait()
             number += 1
@@ -181,7 +181,7 @@
         while True:
             await trio.sleep(UPKEEP_S)
             await self.is_thawed.wait()
-            self.quotas.divide()
+            self.quotas.recompute_shares()
             self._measure_unknown()
             self.members.forget_gone()
 
@@ -192,7 +192,7 @@
                 continue
             seconds = self.fleet.round_trip_s(self.place.ip, place.ip)
             if seconds is not None:
-                self.round_trips.note(domain, seconds)
+                self.round_trips.record(domain, seconds)
 
     async def _know_vms(self):
         while True:
@@ -220,10 +220,10 @@
             await self.peers.send_now()
 
     async def _on_message(self, message, ip: str):
-        await self.messages.take(message, ip)
+        await self.messages.handle(message, ip)
 
     def _make_heartbeat(self) -> Heartbeat:
-        return self._heartbeat(self.quotas.use(), self.members.count)
+        return self._heartbeat(self.quotas.usage(), self.members.count)
 
     def _heartbeat(self, use: dict, known: int = 1) -> Heartbeat:
         self.heartbeat_number += 1
@@ -234,11 +234,11 @@
             incarnation=self.incarnation,
             number=self.heartbeat_number,
             state=self.state,
-            callers=f"{self.place.ip}:80",
-            control=f"{self.place.ip}:81",
-            known=known,
+            caller_address=f"{self.place.ip}:80",
+            control_address=f"{self.place.ip}:81",
+            known_vm_count=known,
             weight=LINK_MBPS,
-            use=use,
+            usage=use,
         )
 
 
--- a/tests/gateway/fleet_support.py
+++ b/tests/gateway/fleet_support.py
@@ -1,9 +1,9 @@
-"""A fleet of VMs in failure domains that tell each other news, without sockets."""
+"""A fleet of VMs in failure domains that exchange summaries without sockets."""
 
 from collections import Counter
 
 from plantainshed_gateway.datagrams import decode, encode
-from plantainshed_gateway.heartbeats import Bundle, DomainNews, VmState
+from plantainshed_gateway.heartbeats import DomainSummary, SummaryBundle, VmState
 from plantainshed_gateway.members import Members
 from plantainshed_gateway.quota import Quotas
 from plantainshed_gateway.speakers import Speakers
@@ -11,8 +11,8 @@
 from .gateway_support import BOUNDS, make_heartbeat, make_round_trips
 
 
-class NewsVm:
-    """One VM's members, quotas and part in spreading news."""
+class GossipVm:
+    """One VM's members, quotas, and speakers."""
 
     def __init__(self, name: str, ip: str, domain: str, incarnation=1, weight=100.0):
         self.name, self.ip, self.domain = name, ip, domain
@@ -20,11 +20,11 @@
         self.weight = weight
         self.number = 0
         self.state = VmState.READY
-        self.members = Members(self.beat())
+        self.members = Members(self.make_own_heartbeat())
         self.quotas = Quotas(self.members, BOUNDS, make_round_trips())
         self.speakers = Speakers(self.members)
 
-    def beat(self, use=None):
+    def make_own_heartbeat(self, usage=None):
         self.number += 1
         return make_heartbeat(
             self.name,
@@ -34,14 +34,14 @@
             incarnation=self.incarnation,
             state=self.state,
             weight=self.weight,
-            callers=f"{self.ip}:1",
-            control=f"{self.ip}:2",
-            use=use or {},
+            caller_address=f"{self.ip}:1",
+            control_address=f"{self.ip}:2",
+            usage=usage or {},
         )
 
 
-class NewsFleet:
-    """All VMs, and what passes between them.
+class GossipFleet:
+    """All VMs and the messages between them.
 
     Parameters
     ----------
@@ -50,12 +50,12 @@
     """
 
     def __init__(self, domains: dict[str, int], weights=(100.0,)):
-        self.vms: dict[str, NewsVm] = {}
+        self.vms: dict[str, GossipVm] = {}
         self.sent = Counter()
         self.sent_bytes = Counter()
         self.far_bytes = 0
         self.ticks = 0
-        # News of other domains that arrives with the next tick only.
+        # Whether messages to other domains arrive only with the next tick.
         self.is_far_late = False
         self.late: list[tuple] = []
         self.is_cut = lambda sender, receiver: False
@@ -64,36 +64,36 @@
                 ip = f"10.{number}.0.{index + 1}"
                 weight = weights[index % len(weights)]
                 name = f"{domain}-{index}"
-                self.vms[ip] = NewsVm(name, ip, domain, weight=weight)
+                self.vms[ip] = GossipVm(name, ip, domain, weight=weight)
         for vm in self.vms.values():
             vm.members.is_listed = True
             for other in self.vms.values():
                 vm.members.note_listed(other.name, other.ip, other.domain)
 
     def tick(self):
-        """Half a second's heartbeats; each second time with news."""
+        """Send one round of heartbeats, and summaries every second time."""
         self.ticks += 1
         late, self.late = self.late, []
         for sender, ip, message in late:
             self.deliver(sender, ip, message)
         for vm in list(self.vms.values()):
-            vm.members.own = vm.beat(vm.quotas.use())
+            vm.members.own = vm.make_own_heartbeat(vm.quotas.usage())
             for member in vm.members.near():
                 self.send(vm, member.ip, vm.members.own)
         for vm in list(self.vms.values()):
             if self.ticks % 2 == 0:
                 receivers = vm.speakers.receivers()
-                news = vm.speakers.make_news() if receivers else None
+                summary = vm.speakers.make_summary() if receivers else None
                 for ip in receivers:
-                    self.send(vm, ip, news)
+                    self.send(vm, ip, summary)
         for vm in list(self.vms.values()):
-            for bundle in vm.speakers.bundles():
+            for bundle in vm.speakers.take_bundles():
                 for member in vm.members.near():
                     self.send(vm, member.ip, bundle)
         for vm in self.vms.values():
-            vm.quotas.divide()
+            vm.quotas.recompute_shares()
 
-    def send(self, sender: NewsVm, ip: str, message):
+    def send(self, sender: GossipVm, ip: str, message):
         data = encode(message)
         self.sent[sender.name] += 1
         self.sent_bytes[sender.name] += len(data)
@@ -105,19 +105,19 @@
             return
         self.deliver(sender, ip, message)
 
-    def deliver(self, sender: NewsVm, ip: str, message):
-        """Hand a message to its receiver."""
+    def deliver(self, sender: GossipVm, ip: str, message):
+        """Deliver a message to its receiver."""
         receiver, data = self.vms[ip], encode(message)
         if sender.domain.partition("-")[0] != receiver.domain.partition("-")[0]:
             self.far_bytes += len(data)
         message = decode(data)
-        if isinstance(message, DomainNews):
-            if receiver.members.take_news(message):
-                receiver.speakers.note_to_pass_on(message)
-        elif isinstance(message, Bundle):
-            for packed in message.news:
-                told_by = packed.failure_domain, packed.speaker, packed.order
-                if receiver.members.wants_news(*told_by):
-                    receiver.members.take_news(packed.unpack())
+        if isinstance(message, DomainSummary):
+            if receiver.members.record_summary(message):
+                receiver.speakers.queue_for_relay(message)
+        elif isinstance(message, SummaryBundle):
+            for packed in message.summaries:
+                version_key = packed.failure_domain, packed.speaker, packed.version
+                if receiver.members.wants_summary(*version_key):
+                    receiver.members.record_summary(packed.unpack())
         else:
-            receiver.members.take(message, sender.ip)
+            receiver.members.record_heartbeat(message, sender.ip)
--- a/tests/gateway/gateway_support.py
+++ b/tests/gateway/gateway_support.py
@@ -105,8 +105,8 @@
             "incarnation": 1,
             "number": number,
             "state": VmState.READY,
-            "callers": f"{vm}:1",
-            "control": f"{vm}:2",
+            "caller_address": f"{vm}:1",
+            "control_address": f"{vm}:2",
             **overrides,
         }
     )
--- a/tests/gateway/linked_fleet.py
+++ b/tests/gateway/linked_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet whose VMs really send: heartbeats, news and loans over links with delays."""
+"""A fleet whose VMs send heartbeats, summaries, and loans over links with latency."""
 
 import io
 import random
@@ -11,7 +11,7 @@
 from plantainshed_gateway.logs import DecisionLog
 from plantainshed_gateway.members import Members
 from plantainshed_gateway.model import Workspace
-from plantainshed_gateway.peer_messages import PeerMessages
+from plantainshed_gateway.peer_messages import PeerMessageHandler
 from plantainshed_gateway.peers import Peers
 from plantainshed_gateway.poison import PoisonTracker
 from plantainshed_gateway.quota import Quotas
@@ -26,7 +26,7 @@
 
 
 class LinkedPeers(Peers):
-    """Peers whose datagrams go over the fleet's links in place of a socket."""
+    """Peers whose datagrams use the fleet's simulated links instead of a socket."""
 
     def __init__(self, fleet: "LinkedFleet", *rest):
         super().__init__(*rest)
@@ -37,7 +37,7 @@
 
 
 class LinkedVm:
-    """One VM's parts that quotas rest on."""
+    """The components of one VM that quotas depend on."""
 
     def __init__(self, fleet: "LinkedFleet", ip: str, domain: str, incarnation: int):
         self.fleet, self.ip, self.domain = fleet, ip, domain
@@ -45,7 +45,7 @@
         self.incarnation = incarnation
         self.number = 0
         log = DecisionLog(self.name, domain, io.StringIO())
-        self.members = Members(self.beat({}))
+        self.members = Members(self.make_own_heartbeat({}))
         self.speakers = Speakers(self.members)
         self.round_trips = RoundTrips(fleet.region_of, log)
         self.quotas = Quotas(self.members, BOUNDS, self.round_trips)
@@ -56,12 +56,12 @@
             self.speakers,
             ip,
             1,
-            lambda: self.beat(self.quotas.use()),
-            self.take,
+            lambda: self.make_own_heartbeat(self.quotas.usage()),
+            self.on_message,
             log,
         )
         self.loans = Loans(self.quotas, self.members, self.peers.send, self.round_trips)
-        self.messages = PeerMessages(
+        self.messages = PeerMessageHandler(
             self.peers,
             self.members,
             self.speakers,
@@ -72,9 +72,9 @@
         )
         for domain in fleet.region_of:
             if fleet.region_of[domain] != fleet.region_of[self.domain]:
-                self.round_trips.note(domain, 2 * fleet.one_way_s)
+                self.round_trips.record(domain, 2 * fleet.one_way_s)
 
-    def beat(self, use):
+    def make_own_heartbeat(self, usage):
         self.number += 1
         return make_heartbeat(
             self.name,
@@ -83,18 +83,18 @@
             region=self.fleet.region_of[self.domain],
             incarnation=self.incarnation,
             state=VmState.READY,
-            callers=f"{self.ip}:1",
-            control=f"{self.ip}:2",
-            known=self.fleet.count,
+            caller_address=f"{self.ip}:1",
+            control_address=f"{self.ip}:2",
+            known_vm_count=self.fleet.count,
             weight=100.0,
-            use=use,
+            usage=usage,
         )
 
-    async def take(self, message, ip):
-        await self.messages.take(message, ip)
+    async def on_message(self, message, ip):
+        await self.messages.handle(message, ip)
 
     async def run(self, after_s: float):
-        """Send heartbeats and divide, as a gateway does, until cancelled."""
+        """Send heartbeats and recompute shares, like a gateway, until cancelled."""
         await trio.sleep(after_s)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.peers.send_heartbeats)
@@ -103,20 +103,20 @@
     async def upkeep(self):
         while True:
             await trio.sleep(UPKEEP_S)
-            self.quotas.divide()
+            self.quotas.recompute_shares()
 
 
 class LinkedFleet:
-    """All VMs, the links between them, and what they let through.
+    """All VMs, the links between them, and the requests they admit.
 
     Parameters
     ----------
     domains : dict of str to int
-        Number of VMs by failure domain, whose names begin with a region's.
+        Number of VMs by failure domain. Each name begins with the region's name.
     workspace : Workspace
     nursery : trio.Nursery
     one_way_s : float
-        Between regions.
+        Latency between regions.
     """
 
     def __init__(
@@ -157,7 +157,7 @@
             await vm.run(after_s)
 
     def restart(self, ip: str):
-        """Replace a VM's run by a new one that knows nothing."""
+        """Restart a VM with empty state."""
         self.scopes[ip].cancel()
         old = self.vms[ip]
         self.vms[ip] = LinkedVm(self, ip, old.domain, old.incarnation + 1)
@@ -175,42 +175,42 @@
         )
         await trio.sleep(self.one_way_s if is_far else NEAR_S)
         if not self.is_cut(sender, ip):
-            await self.vms[ip].take(decode(data), sender)
+            await self.vms[ip].on_message(decode(data), sender)
 
     async def request(self, vm: LinkedVm):
-        """Admit one request as the gateway does."""
+        """Admit one request in the same way as the gateway."""
         self.asked += 1
         wait_s = vm.quotas.admit(self.workspace)
         if wait_s is not None:
             await vm.loans.borrow(self.workspace)
-            wait_s = vm.quotas.take(self.workspace)
+            wait_s = vm.quotas.take_token(self.workspace)
         if wait_s is None:
-            await vm.loans.fetch_ahead(self.workspace)
+            await vm.loans.prefetch(self.workspace)
             self.admitted.append(trio.current_time())
         else:
             self.refused += 1
 
     async def play(self, seconds: float, rate, at=None):
-        """Play `rate` requests a second in all, at VMs given by `at`."""
+        """Generate `rate` requests per second in total on the VMs given by `at`."""
         ips = at or list(self.vms)
         for _ in range(round(seconds / STEP_S)):
-            for _ in range(self.drawn(rate * STEP_S)):
+            for _ in range(self.random_round(rate * STEP_S)):
                 vm = self.vms[self.rng.choice(ips)]
                 self.nursery.start_soon(self.request, vm)
             await trio.sleep(STEP_S)
 
-    def drawn(self, mean: float) -> int:
+    def random_round(self, mean: float) -> int:
         whole, rest = divmod(mean, 1.0)
         return int(whole) + (self.rng.random() < rest)
 
-    # What is looked at.
+    # Measurements.
 
     def tokens(self) -> float:
-        """Return the tokens at hand on all VMs."""
+        """Return the number of tokens on all VMs."""
         buckets = [vm.quotas.buckets.get(self.workspace.name) for vm in self.all()]
         buckets = [bucket for bucket in buckets if bucket is not None]
         for bucket in buckets:
-            bucket.fill()
+            bucket.refill()
         return sum(bucket.level for bucket in buckets)
 
     def shares(self) -> float:
@@ -237,5 +237,5 @@
 
     @property
     def used(self) -> float:
-        """Return the highest window as a part of what is allowed."""
+        """Return the fullest window as a fraction of what is allowed."""
         return self.most_in_window() / self.allowed
--- a/tests/gateway/test_freshness.py
+++ b/tests/gateway/test_freshness.py
@@ -362,13 +362,13 @@
     async def test_next_speaker_polls_while_the_first_is_disconnected(self):
         """The next speaker must poll while the store rejects the domain's first one."""
         members = make_members("vm-0")
-        beat = make_heartbeat("vm-1", is_in_touch=True)
-        members.take(beat, "10.0.0.1")
+        beat = make_heartbeat("vm-1", is_store_reachable=True)
+        members.record_heartbeat(beat, "10.0.0.1")
         speakers = Speakers(members)
         is_first = speakers.names()[0] == "vm-0"
-        self.assertEqual(speakers.is_first_in_touch(), is_first)
-        lost = make_heartbeat("vm-1", 2, is_in_touch=False)
-        members.take(lost, "10.0.0.1")
-        self.assertTrue(speakers.is_first_in_touch())
+        self.assertEqual(speakers.is_first_to_reach_store(), is_first)
+        lost = make_heartbeat("vm-1", 2, is_store_reachable=False)
+        members.record_heartbeat(lost, "10.0.0.1")
+        self.assertTrue(speakers.is_first_to_reach_store())
         members.own = make_heartbeat("vm-0", 2, state=VmState.LEAVING)
-        self.assertFalse(speakers.is_first_in_touch())
+        self.assertFalse(speakers.is_first_to_reach_store())
