--- a/packages/entry/plantainshed_entry/relay.py
+++ b/packages/entry/plantainshed_entry/relay.py
@@ -138,8 +138,8 @@
         except ConnectionBroken as error:
             raise AttemptFailed(
                 f"target {state.target.name} broke off: {error}",
-                Outcome.UNKNOWN if connection.touched else Outcome.NOT_RUN,
-                crashed=connection.touched,
+                Outcome.UNKNOWN if connection.send_started else Outcome.NOT_RUN,
+                crashed=connection.send_started,
             ) from error
 
     async def _send_whole_body(self, call, connection):
--- a/packages/gateway/plantainshed_gateway/forwarding.py
+++ b/packages/gateway/plantainshed_gateway/forwarding.py
@@ -181,4 +181,4 @@
 def _broken(connection: ClientConnection, problem: str) -> AttemptFailed:
     with contextlib.suppress(OSError):
         connection.stream.socket.close()
-    return AttemptFailed(Reason.CONNECTION_BROKEN, problem, connection.touched)
+    return AttemptFailed(Reason.CONNECTION_BROKEN, problem, connection.send_started)
--- a/packages/http/plantainshed_http/client.py
+++ b/packages/http/plantainshed_http/client.py
@@ -29,7 +29,7 @@
 
     Attributes
     ----------
-    touched : bool
+    send_started : bool
         Whether any byte of the present request may have reached the server.
     rested_s : float
         How long it was idle before the present request; 0 if it is new.
@@ -39,7 +39,7 @@
         self.stream = stream
         self.address = address
         self.h11 = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
-        self.touched = False
+        self.send_started = False
         self.rested_s = 0.0
         self.unsent = b""
         self.method = "GET"
@@ -66,7 +66,7 @@
         """
         if self.h11.our_state is h11.DONE:
             self.h11.start_next_cycle()
-        self.touched = False
+        self.send_started = False
         self.method = method
         self._add(_checked_request(method, target, headers))
 
@@ -174,7 +174,7 @@
         self._add(event)
         data, self.unsent = self.unsent, b""
         if data:
-            self.touched = True
+            self.send_started = True
             try:
                 await self.stream.send_all(data)
             except SOCKET_ERRORS as error:
--- a/tests/http/test_client.py
+++ b/tests/http/test_client.py
@@ -30,7 +30,7 @@
                     with self.assertRaises(UnsendableRequest) as caught:
                         await client.send_head("GET", target, headers)
                     self.assertEqual(caught.exception.status, 400)
-                    self.assertFalse(client.touched)
+                    self.assertFalse(client.send_started)
                     self.assertEqual(client.unsent, b"")
             head, body = await client.request("GET", "/last")
             self.assertEqual((head.status, body), (200, b"whole"))
