--- a/packages/gateway/plantainshed_gateway/connections.py
+++ b/packages/gateway/plantainshed_gateway/connections.py
@@ -89,7 +89,7 @@
             rested_s = trio.current_time() - kept.since
             limit_s = self._rest_limit_s(state, kept, part)
             if rested_s < limit_s and not kept.connection.stale:
-                kept.connection.rested_s = rested_s
+                kept.connection.idle_s = rested_s
                 return kept.connection
             _close_now(kept.connection)
         return None
--- a/packages/gateway/plantainshed_gateway/forwarding.py
+++ b/packages/gateway/plantainshed_gateway/forwarding.py
@@ -66,7 +66,7 @@
             yield answer
         except ConnectionBroken as error:
             after_s = trio.current_time() - sent_at
-            self.connections.note_broken(state, connection.rested_s, after_s)
+            self.connections.note_broken(state, connection.idle_s, after_s)
             raise _broken(connection, str(error)) from error
         except AttemptFailed as failure:
             if failure.reason is not Reason.TARGET_BUSY:
--- a/packages/http/plantainshed_http/client.py
+++ b/packages/http/plantainshed_http/client.py
@@ -31,7 +31,7 @@
     ----------
     send_started : bool
         Whether any byte of the present request may have reached the server.
-    rested_s : float
+    idle_s : float
         How long it was idle before the present request; 0 if it is new.
     """
 
@@ -40,7 +40,7 @@
         self.address = address
         self.h11 = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
         self.send_started = False
-        self.rested_s = 0.0
+        self.idle_s = 0.0
         self.unsent = b""
         self.method = "GET"
 
--- a/packages/measure/plantainshed_measure/placing_model.py
+++ b/packages/measure/plantainshed_measure/placing_model.py
@@ -128,7 +128,7 @@
     stale = False
 
     def __init__(self):
-        self.rested_s = 0.0
+        self.idle_s = 0.0
         self.stream = self
         self.socket = self
 
--- a/tests/gateway/test_connections.py
+++ b/tests/gateway/test_connections.py
@@ -36,7 +36,7 @@
     stream = FakeStream()
 
     def __init__(self):
-        self.rested_s = 0.0
+        self.idle_s = 0.0
 
 
 class Targets:
