--- a/packages/entry/plantainshed_entry/relay.py
+++ b/packages/entry/plantainshed_entry/relay.py
@@ -171,7 +171,7 @@
             )
         exchange = call.exchange
         await exchange.start(head.status, _headers_for_caller(call, head.headers))
-        if not connection.has_more_at_hand:
+        if not connection.has_buffered_data:
             # The body may come much later; its head is not held back for it.
             await exchange.flush()
         async for chunk in connection.response_body():
--- a/packages/gateway/plantainshed_gateway/forwarding.py
+++ b/packages/gateway/plantainshed_gateway/forwarding.py
@@ -75,7 +75,7 @@
         except BaseException:
             await connection.aclose()
             raise
-        if connection.has_more_at_hand:
+        if connection.has_buffered_data:
             # Bytes after the end belong to no request, and would be taken for
             # the beginning of the next one's answer.
             await connection.aclose()
--- a/packages/http/plantainshed_http/client.py
+++ b/packages/http/plantainshed_http/client.py
@@ -120,7 +120,7 @@
             self.h11.receive_data(at_hand)
 
     @property
-    def has_more_at_hand(self) -> bool:
+    def has_buffered_data(self) -> bool:
         """Whether more of the response has already arrived."""
         return bool(self.h11.trailing_data[0])
 
