--- a/packages/gateway/plantainshed_gateway/serving.py
+++ b/packages/gateway/plantainshed_gateway/serving.py
@@ -157,7 +157,7 @@
             if not call.route.is_idempotent:
                 # A run that was begun is let end though its caller has left:
                 # broken off, nobody could tell whether it had taken effect.
-                async with exchange.noticing_when_caller_leaves():
+                async with exchange.detect_caller_disconnect():
                     await self._attempt_until_answered(exchange, call)
                 return
             async with exchange.cancelled_when_caller_leaves() as caller:
--- a/packages/http/plantainshed_http/server.py
+++ b/packages/http/plantainshed_http/server.py
@@ -215,7 +215,7 @@
             yield nursery.cancel_scope
 
     @contextlib.asynccontextmanager
-    async def noticing_when_caller_leaves(self):
+    async def detect_caller_disconnect(self):
         """Set `caller_has_left` when the caller closes its side meanwhile."""
         async with self._watching_caller():
             yield
