--- a/packages/entry/plantainshed_entry/serving.py
+++ b/packages/entry/plantainshed_entry/serving.py
@@ -146,7 +146,7 @@
             if call.body is None:
                 await self._run_once(call)
             else:
-                async with call.exchange.cancelled_when_caller_leaves():
+                async with call.exchange.cancel_on_caller_disconnect():
                     await self._run_once(call)
             return
         self._explain_cancel(call)
--- a/packages/gateway/plantainshed_gateway/serving.py
+++ b/packages/gateway/plantainshed_gateway/serving.py
@@ -160,7 +160,7 @@
                 async with exchange.detect_caller_disconnect():
                     await self._attempt_until_answered(exchange, call)
                 return
-            async with exchange.cancelled_when_caller_leaves() as caller:
+            async with exchange.cancel_on_caller_disconnect() as caller:
                 await self._attempt_until_answered(exchange, call)
                 return
         if scope.cancelled_caught:
--- a/packages/http/plantainshed_http/server.py
+++ b/packages/http/plantainshed_http/server.py
@@ -203,7 +203,7 @@
         await self._connection.send_event(h11.EndOfMessage())
 
     @contextlib.asynccontextmanager
-    async def cancelled_when_caller_leaves(self):
+    async def cancel_on_caller_disconnect(self):
         """Cancel the block when the caller closes its side meanwhile.
 
         Without it a request goes on at its target, holding a slot there, for
--- a/packages/measure/plantainshed_measure/fake_exchange.py
+++ b/packages/measure/plantainshed_measure/fake_exchange.py
@@ -55,6 +55,6 @@
         """Take the end of an answer."""
 
     @contextlib.asynccontextmanager
-    async def cancelled_when_caller_leaves(self):
+    async def cancel_on_caller_disconnect(self):
         """Run a block; this caller stays."""
         yield
