--- a/packages/gateway/plantainshed_gateway/serving.py
+++ b/packages/gateway/plantainshed_gateway/serving.py
@@ -181,7 +181,7 @@
             failure = await self._attempt(exchange, call, state)
             if failure is None:
                 return
-            if exchange.caller_has_left:
+            if exchange.caller_disconnected:
                 # Another target would run it for nobody.
                 self._log(call, HTTPStatus.BAD_GATEWAY, Reason.CALLER_LEFT)
                 return
--- a/packages/http/plantainshed_http/server.py
+++ b/packages/http/plantainshed_http/server.py
@@ -155,7 +155,7 @@
         self.request = request
         self.caller = caller
         self.started = False
-        self.caller_has_left = False
+        self.caller_disconnected = False
         self._on_caller_left: Callable[[], None] = lambda: None
 
     async def body(self) -> AsyncIterator[bytes]:
@@ -216,7 +216,7 @@
 
     @contextlib.asynccontextmanager
     async def detect_caller_disconnect(self):
-        """Set `caller_has_left` when the caller closes its side meanwhile."""
+        """Set `caller_disconnected` when the caller closes its side meanwhile."""
         async with self._watching_caller():
             yield
 
@@ -229,7 +229,7 @@
 
     async def _watch_caller(self):
         if await self._connection.wait_for_end():
-            self.caller_has_left = True
+            self.caller_disconnected = True
             self._on_caller_left()
 
 
