--- a/packages/entry/plantainshed_entry/handlers.py
+++ b/packages/entry/plantainshed_entry/handlers.py
@@ -4,7 +4,7 @@
 
 import orjson
 
-from plantainshed_http.errors import BadMessage, CallerLeft
+from plantainshed_http.errors import BadMessage, CallerDisconnected
 from plantainshed_http.server import SOCKET_ERRORS, Exchange
 
 from .errors import Refusal
@@ -19,7 +19,7 @@
 JSON_TYPE = (b"content-type", b"application/json")
 TEXT_TYPE = (b"content-type", b"text/plain; version=0.0.4; charset=utf-8")
 # What a server's connection knows how to end with.
-ENDS_OF_A_CONNECTION = (BadMessage, CallerLeft, *SOCKET_ERRORS)
+ENDS_OF_A_CONNECTION = (BadMessage, CallerDisconnected, *SOCKET_ERRORS)
 
 
 class Handlers:
@@ -46,7 +46,7 @@
                 "internal error", extra={"path": exchange.request.target}
             )
             if exchange.started:
-                raise CallerLeft("the answer cannot be completed") from None
+                raise CallerDisconnected("the answer cannot be completed") from None
             # A target may have run the request before the fault.
             outcome = (OUTCOME_HEADER, Outcome.UNKNOWN.encode())
             await exchange.reply(502, [outcome], b"internal error\n")
--- a/packages/http/plantainshed_http/errors.py
+++ b/packages/http/plantainshed_http/errors.py
@@ -41,5 +41,5 @@
     """The other side went away in the middle of an exchange."""
 
 
-class CallerLeft(HttpError):
+class CallerDisconnected(HttpError):
     """A server's caller went away before its exchange had ended."""
--- a/packages/http/plantainshed_http/server.py
+++ b/packages/http/plantainshed_http/server.py
@@ -15,7 +15,7 @@
 
 from plantainshed_coordination.nurseries import open_plain_nursery
 
-from .errors import BadMessage, CallerLeft
+from .errors import BadMessage, CallerDisconnected
 from .messages import (
     HEAD_TIMEOUT_S,
     IDLE_TIMEOUT_S,
@@ -248,7 +248,7 @@
     async def run(self):
         try:
             await self._serve_exchanges()
-        except (CallerLeft, *SOCKET_ERRORS):
+        except (CallerDisconnected, *SOCKET_ERRORS):
             pass
         except Exception as error:
             # A fault of this program must cost one connection, not the process
@@ -282,14 +282,14 @@
             await self.handler(exchange)
         except BadMessage as problem:
             if exchange.started:
-                raise CallerLeft(problem.reason) from problem
+                raise CallerDisconnected(problem.reason) from problem
             await self._refuse(problem)
-        except (CallerLeft, *SOCKET_ERRORS):
+        except (CallerDisconnected, *SOCKET_ERRORS):
             raise
         except Exception as error:
             self.report(error)
             if exchange.started:
-                raise CallerLeft("the answer cannot be completed") from error
+                raise CallerDisconnected("the answer cannot be completed") from error
             await exchange.reply(502, [], b"internal error\n")
 
     async def _next_request(self) -> RequestHead | None:
@@ -346,7 +346,7 @@
             elif isinstance(event, h11.EndOfMessage) or event is h11.PAUSED:
                 return None
             else:
-                raise CallerLeft("the caller left in the middle of the body")
+                raise CallerDisconnected("the caller left in the middle of the body")
         return None
 
     async def wait_for_end(self) -> bool:
