--- a/packages/gateway/plantainshed_gateway/daemon.py
+++ b/packages/gateway/plantainshed_gateway/daemon.py
@@ -144,7 +144,7 @@
         """Steer callers away, then end what runs, within the time given."""
         within_s = self.settings.bounds.stop_within_s
         began_at = trio.current_time()
-        self.stopping.is_announced = True
+        self.stopping.sends_connection_close = True
         await self.gateway.announce_leaving()
         accept_until = began_at + accept_s(within_s)
         self.gateway.serving.takes_until = accept_until + STOP_GRACE_S
--- a/packages/http/plantainshed_http/server.py
+++ b/packages/http/plantainshed_http/server.py
@@ -55,14 +55,14 @@
 
     Attributes
     ----------
-    is_announced : bool
+    sends_connection_close : bool
         Whether answers say that their connection closes, so that callers go
         elsewhere while new connections are still taken.
     """
 
     event: trio.Event = field(factory=trio.Event)
     idle_scopes: set[trio.CancelScope] = field(factory=set)
-    is_announced: bool = False
+    sends_connection_close: bool = False
 
     @property
     def is_set(self) -> bool:
@@ -362,7 +362,7 @@
         return not data
 
     def begin_answer(self, status: int, headers: Headers):
-        closes = self.stopping.is_set or self.stopping.is_announced
+        closes = self.stopping.is_set or self.stopping.sends_connection_close
         if closes or self.h11.their_state is not h11.DONE:
             headers = [*headers, (b"connection", b"close")]
         response = h11.Response(status_code=status, headers=headers)
