--- a/packages/gateway/plantainshed_gateway/forwarding.py
+++ b/packages/gateway/plantainshed_gateway/forwarding.py
@@ -102,7 +102,7 @@
         await connection.send_head(call.head.method, call.head.target, headers)
         if call.body:
             # With the head in one write: a target then has all of it or none.
-            connection.add_body(call.body)
+            connection.buffer_body(call.body)
         await connection.end_request()
 
     async def _read(
--- a/packages/http/plantainshed_http/client.py
+++ b/packages/http/plantainshed_http/client.py
@@ -74,7 +74,7 @@
         """Send a piece of the body."""
         await self._send(h11.Data(data=chunk))
 
-    def add_body(self, chunk: bytes):
+    def buffer_body(self, chunk: bytes):
         """Add a piece of the body that leaves with what follows."""
         self._add(h11.Data(data=chunk))
 
--- a/packages/http/plantainshed_http/server.py
+++ b/packages/http/plantainshed_http/server.py
@@ -182,7 +182,7 @@
         length = (b"content-length", str(len(body)).encode())
         await self.start(status, [*headers, length])
         if body and self.request.method != "HEAD":
-            self._connection.add_body(body)
+            self._connection.buffer_body(body)
         await self.finish()
 
     async def start(self, status: int, headers: Headers):
@@ -368,7 +368,7 @@
         response = h11.Response(status_code=status, headers=headers)
         self.unsent += self.h11.send(response)
 
-    def add_body(self, chunk: bytes):
+    def buffer_body(self, chunk: bytes):
         self.unsent += self.h11.send(h11.Data(data=chunk))
 
     async def send_event(self, event):
--- a/tests/platform/platform_support.py
+++ b/tests/platform/platform_support.py
@@ -144,7 +144,7 @@
             sent.append((b"content-length", str(len(body)).encode()))
         await connection.send_head(method, path, sent)
         if body:
-            connection.add_body(body)
+            connection.buffer_body(body)
         await connection.end_request()
         head, answer = await connection.read_response()
     return head.status, {k.decode(): v.decode() for k, v in head.headers}, answer
--- a/tests/platform/soak/callers.py
+++ b/tests/platform/soak/callers.py
@@ -129,7 +129,7 @@
             headers.append((b"content-length", b"%d" % len(one.body)))
         await self.connection.send_head(method, one.path, headers)
         if one.body:
-            self.connection.add_body(one.body)
+            self.connection.buffer_body(one.body)
         await self.connection.end_request()
         head, answer = await self.connection.read_response()
         one.is_signed = head.header(b"server-seal") is not None
