--- a/packages/entry/plantainshed_entry/relay.py
+++ b/packages/entry/plantainshed_entry/relay.py
@@ -23,7 +23,7 @@
     Headers,
     RequestHead,
     ResponseHead,
-    end_to_end,
+    end_to_end_headers,
 )
 
 from .call import Call
@@ -199,7 +199,7 @@
 def _headers_for_target(call: Call, request: RequestHead) -> Headers:
     headers = [
         (name, value)
-        for name, value in end_to_end(request.headers)
+        for name, value in end_to_end_headers(request.headers)
         if name not in NOT_FOR_TARGETS
     ]
     length = request.header(b"content-length")
@@ -220,7 +220,7 @@
 def _headers_for_caller(call: Call, headers: Headers) -> Headers:
     kept = [
         (name, value)
-        for name, value in end_to_end(headers)
+        for name, value in end_to_end_headers(headers)
         if name not in (LOAD_HEADER, DRAINING_HEADER)
     ]
     if not any(name == b"content-length" for name, _ in kept):
--- a/packages/gateway/plantainshed_gateway/answers.py
+++ b/packages/gateway/plantainshed_gateway/answers.py
@@ -6,7 +6,7 @@
 import trio
 
 from plantainshed_http.errors import ConnectionBroken
-from plantainshed_http.messages import Headers, end_to_end
+from plantainshed_http.messages import Headers, end_to_end_headers
 from plantainshed_http.server import Exchange
 
 from .errors import Refusal
@@ -18,7 +18,7 @@
 
 async def pass_on(exchange: Exchange, answer: Answer):
     """Give a target's answer to the caller, unchanged."""
-    headers = end_to_end(answer.head.headers)
+    headers = end_to_end_headers(answer.head.headers)
     if answer.rest is not None:
         await _stream(exchange, answer, headers)
     elif exchange.request.method == "HEAD" or answer.head.status in NO_BODY_STATUS:
--- a/packages/http/plantainshed_http/messages.py
+++ b/packages/http/plantainshed_http/messages.py
@@ -68,7 +68,7 @@
     return None
 
 
-def end_to_end(headers: Headers) -> Headers:
+def end_to_end_headers(headers: Headers) -> Headers:
     """Return the headers that concern the far end, not this connection."""
     named = set()
     for key, value in headers:
