--- a/packages/measure/plantainshed_measure/rig.py
+++ b/packages/measure/plantainshed_measure/rig.py
@@ -183,7 +183,7 @@
         running = self.vms.pop(vm)
         for scope in [running.scope, *running.requests]:
             scope.cancel()
-        self.network.ends.pop(vm, None)
+        self.network.transports.pop(vm, None)
 
     def forget_vm(self, vm: str):
         """Have the platform drop a VM from its list."""
--- a/packages/standins/plantainshed_standins/memory_network.py
+++ b/packages/standins/plantainshed_standins/memory_network.py
@@ -68,12 +68,12 @@
         self.random = random.Random(seed)
         self.delay = delay
         self.faults = NetworkFaults()
-        self.ends: dict[str, MemoryTransport] = {}
+        self.transports: dict[str, MemoryTransport] = {}
 
     def open(self, address: str) -> "MemoryTransport":
         """Return the end for an address; an earlier one gets nothing more."""
         end = MemoryTransport(self, address)
-        self.ends[address] = end
+        self.transports[address] = end
         return end
 
     def passes(self, sender: str, receiver: str) -> bool:
@@ -117,7 +117,7 @@
     async def fetch(self, address: str, name: str) -> bytes:
         """Fetch a value from another end, as a bulk exchange would."""
         there = self.network.delay_between(self.address, address)
-        end = self.network.ends.get(address)
+        end = self.network.transports.get(address)
         if end is None or self.network.faults.is_cut(self.address, address):
             await trio.sleep(1.0)
             raise PeerTimeout(f"{address}: not reachable")
@@ -130,7 +130,7 @@
 
     async def _deliver(self, address, data):
         await trio.sleep(self.network.delay_between(self.address, address))
-        end = self.network.ends.get(address)
+        end = self.network.transports.get(address)
         if end is not None:
             end.received_bytes += len(data)
             end._inbox.send_nowait(data)
--- a/tests/support.py
+++ b/tests/support.py
@@ -143,7 +143,7 @@
 
     def kill(self, vm: str):
         self.vms.pop(vm).scope.cancel()
-        self.network.ends.pop(vm, None)
+        self.network.transports.pop(vm, None)
 
     def cut(self, *groups):
         """Let datagrams pass inside each group of VMs only."""
