--- a/packages/measure/plantainshed_measure/rig.py
+++ b/packages/measure/plantainshed_measure/rig.py
@@ -168,7 +168,7 @@
             limiter=self.policy.limiter(self.document, len(self.domain_of)),
             order=self.policy.order(),
         )
-        transport.values = node.follower.value
+        transport.get_value = node.follower.value
         running = RunningVm(node, trio.CancelScope())
         self.vms[vm] = running
         self.platform.vms[vm] = ListedVm(vm, leaving=False)
--- a/packages/standins/plantainshed_standins/memory_network.py
+++ b/packages/standins/plantainshed_standins/memory_network.py
@@ -97,7 +97,7 @@
         self.sent_bytes = 0
         self.sent_messages = 0
         self.received_bytes = 0
-        self.values: Callable[[str], bytes | None] = lambda name: None
+        self.get_value: Callable[[str], bytes | None] = lambda name: None
         self._inbox, self._outbox = trio.open_memory_channel(math.inf)
 
     async def send(self, address: str, data: bytes) -> None:
@@ -122,7 +122,7 @@
             await trio.sleep(1.0)
             raise PeerTimeout(f"{address}: not reachable")
         await trio.sleep(2 * there)
-        value = end.values(name)
+        value = end.get_value(name)
         if value is None:
             raise PeerTimeout(f"{address}: has no {name}")
         end.sent_bytes += len(value)
--- a/tests/coordination/test_follower.py
+++ b/tests/coordination/test_follower.py
@@ -39,7 +39,7 @@
         follower = DocumentFollower(
             DocumentStore(parts.platform), parts.transport, parts.membership, install
         )
-        parts.transport.values = follower.value
+        parts.transport.get_value = follower.value
         self.followers[vm] = follower
         self.fleet.nursery.start_soon(follower.run)
 
