--- a/tests/coordination/test_budget_faults.py
+++ b/tests/coordination/test_budget_faults.py
@@ -10,7 +10,7 @@
 from plantainshed_coordination.budgets import RATE_UNITS
 from plantainshed_measure.tally import ReferenceBucket
 from plantainshed_standins.memory_network import run_deterministically
-from tests.support import FOUR_VMS, WORKSPACE, PartsFleet
+from tests.support import FOUR_VMS, WORKSPACE, MemoryFleet
 
 STEP_S = 3.0
 FAULTS = ("loss", "repeat", "jitter", "cut", "store_down", "store_slow", "lost_answers",
@@ -21,7 +21,7 @@
     """A fleet under load, whose admissions are held against one bucket."""
 
     def __init__(self, seed: int):
-        self.fleet = PartsFleet(FOUR_VMS, seed=seed)
+        self.fleet = MemoryFleet(FOUR_VMS, seed=seed)
         self.chooser = random.Random(seed)
         self.bucket = ReferenceBucket(WORKSPACE.rate, WORKSPACE.burst)
         self.most_units = 0
--- a/tests/coordination/test_follower.py
+++ b/tests/coordination/test_follower.py
@@ -16,14 +16,14 @@
     Change,
     DocumentStore,
 )
-from tests.support import FOUR_VMS, PartsFleet, on_mock_clock
+from tests.support import FOUR_VMS, MemoryFleet, on_mock_clock
 
 
 class FollowingFleet:
     """A fleet whose VMs follow a document."""
 
     def __init__(self):
-        self.fleet = PartsFleet(FOUR_VMS)
+        self.fleet = MemoryFleet(FOUR_VMS)
         self.followers = {}
         self.installed = {vm: [] for vm in self.fleet.domains}
         self.bad_text = b"bad"
--- a/tests/coordination/test_lending.py
+++ b/tests/coordination/test_lending.py
@@ -22,7 +22,7 @@
 from plantainshed_coordination.rate_part import RatePart
 from plantainshed_coordination.rebalancer import PERIOD_S
 from plantainshed_standins.memory_network import DEFAULT_DELAY_S
-from tests.support import PartsFleet, on_mock_clock
+from tests.support import MemoryFleet, on_mock_clock
 
 # So slow a rate that within a test only a loan brings another token.
 SLOW = BudgetSpec("workspace/comune", BudgetKind.RATE, rate=0.2, burst=8.0)
@@ -70,7 +70,7 @@
         longer than a loan is usable, as on a busy machine. The asker took that
         for nobody having any, and refused.
         """
-        fleet = PartsFleet(TWO_VMS, specs=[SLOW])
+        fleet = MemoryFleet(TWO_VMS, specs=[SLOW])
         async with fleet.running() as vms:
             await trio.sleep(SETTLE_S)
             await self.spend_own(vms["a-1"])
@@ -81,7 +81,7 @@
     @on_mock_clock
     async def test_lender_that_is_slow_again_after_it_lent_is_asked_again(self):
         """A VM that is late twice in 2 s counts as empty, though it lent in between."""
-        fleet = PartsFleet(TWO_VMS, specs=[SLOW])
+        fleet = MemoryFleet(TWO_VMS, specs=[SLOW])
         async with fleet.running() as vms:
             await trio.sleep(SETTLE_S)
             for _ in range(2):
@@ -95,7 +95,7 @@
     async def test_questions_unanswered_at_once_are_one_failure(self):
         """A VM counts as empty after one pause, as two workspaces borrowed in it."""
         other = evolve(SLOW, name="workspace/piccolo")
-        fleet = PartsFleet(TWO_VMS, specs=[SLOW, other])
+        fleet = MemoryFleet(TWO_VMS, specs=[SLOW, other])
         async with fleet.running() as vms:
             await trio.sleep(SETTLE_S)
             lending = vms["a-1"].lending
@@ -117,7 +117,7 @@
     @on_mock_clock
     async def test_lender_whose_answers_all_come_late_is_asked_on(self):
         """A VM that answers in 0.16 s counts as empty, as one that answers nothing."""
-        fleet = PartsFleet(TWO_VMS, specs=[SLOW])
+        fleet = MemoryFleet(TWO_VMS, specs=[SLOW])
         async with fleet.running() as vms:
             await trio.sleep(SETTLE_S)
             await self.spend_own(vms["a-1"])
@@ -127,7 +127,7 @@
     @on_mock_clock
     async def test_lender_that_answers_after_a_pause_is_asked_again_at_once(self):
         """A VM counts as empty for 0.5 s though its answers came meanwhile."""
-        fleet = PartsFleet(TWO_VMS, specs=[SLOW])
+        fleet = MemoryFleet(TWO_VMS, specs=[SLOW])
         async with fleet.running() as vms:
             await trio.sleep(SETTLE_S)
             await self.spend_own(vms["a-1"])
@@ -139,7 +139,7 @@
     @on_mock_clock
     async def test_lender_that_is_always_late_is_given_up(self):
         """Each request asks a VM whose loans never come in time, and waits for it."""
-        fleet = PartsFleet(TWO_VMS, specs=[SLOW])
+        fleet = MemoryFleet(TWO_VMS, specs=[SLOW])
         async with fleet.running() as vms:
             await trio.sleep(SETTLE_S)
             await self.spend_own(vms["a-1"])
@@ -158,7 +158,7 @@
 
         Everybody answers in time that nothing is left; asking on would not help.
         """
-        fleet = PartsFleet(TWO_VMS, specs=[SLOW])
+        fleet = MemoryFleet(TWO_VMS, specs=[SLOW])
         async with fleet.running() as vms:
             await trio.sleep(SETTLE_S)
             for vm in vms.values():
@@ -170,7 +170,7 @@
     @on_mock_clock
     async def test_lender_that_went_silent_is_given_up(self):
         """A request hangs because a VM that had tokens has been cut off."""
-        fleet = PartsFleet(TWO_VMS, specs=[SLOW])
+        fleet = MemoryFleet(TWO_VMS, specs=[SLOW])
         async with fleet.running() as vms:
             await trio.sleep(SETTLE_S)
             await self.spend_own(vms["a-1"])
@@ -211,7 +211,7 @@
         a third borrows and hears that nobody has any left. They arrive, and the
         next request is refused unasked, as what was heard is still remembered.
         """
-        fleet = PartsFleet(THREE_VMS, specs=[SLOW])
+        fleet = MemoryFleet(THREE_VMS, specs=[SLOW])
         async with fleet.running() as vms:
             # Between two writes of the real ledger.
             await trio.sleep(SETTLE_S + PERIOD_S / 2)
@@ -240,7 +240,7 @@
         One VM hears of two halves and borrows both, but another request takes
         one of them first. The half that it got was lost to everybody.
         """
-        fleet = PartsFleet(THREE_VMS, specs=[SLOW])
+        fleet = MemoryFleet(THREE_VMS, specs=[SLOW])
         async with fleet.running() as vms:
             await trio.sleep(SETTLE_S + PERIOD_S / 2)
             for vm, amount in (("a-1", 0.0), ("b-1", 0.5), ("c-1", 0.55)):
@@ -290,7 +290,7 @@
     @on_mock_clock
     async def test_silent_lender_is_not_asked_by_each_request(self):
         """Requests wait for a VM that has been cut off, one after another."""
-        fleet = PartsFleet(TWO_VMS, specs=[SLOW])
+        fleet = MemoryFleet(TWO_VMS, specs=[SLOW])
         async with fleet.running() as vms:
             await trio.sleep(SETTLE_S)
             self.keep_only(vms["a-1"], 0.0)
@@ -313,7 +313,7 @@
         for nobody having any, though the lender has plenty.
         """
         plenty = evolve(SLOW, burst=200.0)
-        fleet = PartsFleet(TWO_VMS, specs=[plenty])
+        fleet = MemoryFleet(TWO_VMS, specs=[plenty])
         async with fleet.running() as vms:
             await trio.sleep(SETTLE_S + PERIOD_S / 2)
             asker = vms["a-1"]
@@ -348,7 +348,7 @@
 
         The waiting one's VM gets a token while it asks others in vain.
         """
-        fleet = PartsFleet(TWO_VMS, specs=[SLOW])
+        fleet = MemoryFleet(TWO_VMS, specs=[SLOW])
         async with fleet.running() as vms:
             await trio.sleep(SETTLE_S + PERIOD_S / 2)
             for vm in vms.values():
@@ -372,7 +372,7 @@
 
         Another lender's answer was waited for until the second had run out.
         """
-        fleet = PartsFleet(THREE_VMS, specs=[SLOW])
+        fleet = MemoryFleet(THREE_VMS, specs=[SLOW])
         async with fleet.running() as vms:
             await trio.sleep(SETTLE_S + PERIOD_S / 2)
             for vm, amount in (("a-1", 0.0), ("b-1", 2.2), ("c-1", 1.0)):
--- a/tests/coordination/test_membership.py
+++ b/tests/coordination/test_membership.py
@@ -7,13 +7,13 @@
 from plantainshed_coordination.members import Liveness
 from plantainshed_coordination.membership import PAUSE_S, SILENT_S
 from plantainshed_coordination.platform import ListedVm
-from tests.support import FOUR_VMS, PartsFleet, on_mock_clock
+from tests.support import FOUR_VMS, MemoryFleet, on_mock_clock
 
 
 class TestMembership(unittest.TestCase):
     @on_mock_clock
     async def test_everybody_hears_of_everybody(self):
-        fleet = PartsFleet(FOUR_VMS)
+        fleet = MemoryFleet(FOUR_VMS)
         async with fleet.running() as vms:
             await trio.sleep(5)
             for vm in vms.values():
@@ -21,7 +21,7 @@
 
     @on_mock_clock
     async def test_dead_vm_is_suspected_then_silent_then_gone(self):
-        fleet = PartsFleet(FOUR_VMS)
+        fleet = MemoryFleet(FOUR_VMS)
         async with fleet.running() as vms:
             await trio.sleep(5)
             fleet.kill("a-2")
@@ -41,7 +41,7 @@
 
         Two VMs of a domain cannot reach each other, while a third hears both.
         """
-        fleet = PartsFleet((("a-1", "a"), ("a-2", "a"), ("a-3", "a")))
+        fleet = MemoryFleet((("a-1", "a"), ("a-2", "a"), ("a-3", "a")))
         async with fleet.running() as vms:
             await trio.sleep(5)
             fleet.network.faults.is_cut = lambda s, r: {s, r} == {"a-1", "a-2"}
@@ -50,7 +50,7 @@
 
     @on_mock_clock
     async def test_new_vm_missing_from_the_lagging_list_is_not_gone(self):
-        fleet = PartsFleet(FOUR_VMS)
+        fleet = MemoryFleet(FOUR_VMS)
         async with fleet.running() as vms:
             del fleet.platform.vms["b-1"]
             await trio.sleep(30)
@@ -58,7 +58,7 @@
 
     @on_mock_clock
     async def test_silent_but_listed_vm_is_not_gone(self):
-        fleet = PartsFleet(FOUR_VMS)
+        fleet = MemoryFleet(FOUR_VMS)
         async with fleet.running() as vms:
             await trio.sleep(5)
             fleet.cut(["a-1", "a-2"], ["b-1", "b-2"])
@@ -75,7 +75,7 @@
         Its process is paused, the key is withdrawn meanwhile, and on waking a
         waiting request is admitted before any news has arrived.
         """
-        fleet = PartsFleet(FOUR_VMS)
+        fleet = MemoryFleet(FOUR_VMS)
         async with fleet.running() as vms:
             await trio.sleep(5)
             view = vms["a-1"].membership
@@ -92,7 +92,7 @@
         A run is paused, the platform starts another under its name, and the
         first one wakes and goes on with parts that were given to others.
         """
-        fleet = PartsFleet(FOUR_VMS)
+        fleet = MemoryFleet(FOUR_VMS)
         async with fleet.running() as vms:
             await trio.sleep(5)
             old = vms["a-1"]
@@ -113,7 +113,7 @@
         The VM's clock went back between two starts, so that the new run has
         the lower incarnation.
         """
-        fleet = PartsFleet(FOUR_VMS)
+        fleet = MemoryFleet(FOUR_VMS)
         fleet.incarnation = 100
         async with fleet.running() as vms:
             await trio.sleep(5)
@@ -134,7 +134,7 @@
         Its longest-running VM, whose beats have counted far, dies. Those of
         the other VM are lower and were taken for old ones.
         """
-        fleet = PartsFleet(FOUR_VMS)
+        fleet = MemoryFleet(FOUR_VMS)
         async with fleet.running() as vms:
             await trio.sleep(600)
             fleet.kill("b-2")
@@ -149,7 +149,7 @@
 
     @on_mock_clock
     async def test_everybody_learns_who_is_leaving(self):
-        fleet = PartsFleet(FOUR_VMS)
+        fleet = MemoryFleet(FOUR_VMS)
         async with fleet.running() as vms:
             await trio.sleep(5)
             fleet.platform.vms["b-1"] = ListedVm("b-1", leaving=True)
@@ -162,7 +162,7 @@
 
     @on_mock_clock
     async def test_survives_loss_repeats_and_reordering(self):
-        fleet = PartsFleet(FOUR_VMS, seed=5)
+        fleet = MemoryFleet(FOUR_VMS, seed=5)
         fleet.network.faults.loss = 0.3
         fleet.network.faults.repeat = 0.3
         fleet.network.faults.jitter_s = 0.5
--- a/tests/coordination/test_operations.py
+++ b/tests/coordination/test_operations.py
@@ -11,7 +11,7 @@
     Verdict,
     operation_prefix,
 )
-from tests.support import FOUR_VMS, PartsFleet, on_mock_clock
+from tests.support import FOUR_VMS, MemoryFleet, on_mock_clock
 
 
 def operation_of(vm, nonce="n1") -> OperationId:
@@ -28,7 +28,7 @@
 class TestOperationBook(unittest.TestCase):
     @on_mock_clock
     async def test_repeat_at_another_vm_gets_the_first_answer(self):
-        fleet = PartsFleet(FOUR_VMS)
+        fleet = MemoryFleet(FOUR_VMS)
         async with fleet.running() as vms:
             await trio.sleep(5)
             operation = operation_of(vms["a-1"])
@@ -41,7 +41,7 @@
 
     @on_mock_clock
     async def test_repeat_while_the_first_runs_does_not_run(self):
-        fleet = PartsFleet(FOUR_VMS)
+        fleet = MemoryFleet(FOUR_VMS)
         async with fleet.running() as vms:
             await trio.sleep(5)
             operation = operation_of(vms["a-1"])
@@ -56,7 +56,7 @@
         The VM that ran the booking dies before it answers; the caller sends
         the booking to another VM, which has never heard of it.
         """
-        fleet = PartsFleet(FOUR_VMS)
+        fleet = MemoryFleet(FOUR_VMS)
         async with fleet.running() as vms:
             await trio.sleep(5)
             operation = operation_of(vms["a-1"])
@@ -67,7 +67,7 @@
 
     @on_mock_clock
     async def test_repeat_at_the_next_run_of_the_vm_is_unknown(self):
-        fleet = PartsFleet(FOUR_VMS)
+        fleet = MemoryFleet(FOUR_VMS)
         async with fleet.running() as vms:
             await trio.sleep(5)
             operation = operation_of(vms["a-1"])
@@ -80,7 +80,7 @@
 
     @on_mock_clock
     async def test_repeat_across_a_partition_is_unknown(self):
-        fleet = PartsFleet(FOUR_VMS)
+        fleet = MemoryFleet(FOUR_VMS)
         async with fleet.running() as vms:
             await trio.sleep(5)
             operation = operation_of(vms["a-1"])
@@ -96,7 +96,7 @@
         The record of it was dropped to bound the memory, and a repeat that
         comes late looks like a first attempt.
         """
-        fleet = PartsFleet(FOUR_VMS)
+        fleet = MemoryFleet(FOUR_VMS)
         async with fleet.running() as vms:
             await trio.sleep(5)
             operation = operation_of(vms["a-1"])
@@ -108,7 +108,7 @@
 
     @on_mock_clock
     async def test_released_operation_may_run_again(self):
-        fleet = PartsFleet(FOUR_VMS)
+        fleet = MemoryFleet(FOUR_VMS)
         async with fleet.running() as vms:
             await trio.sleep(5)
             operation = operation_of(vms["a-1"])
@@ -119,7 +119,7 @@
 
     @on_mock_clock
     async def test_repeated_claim_message_lets_one_run(self):
-        fleet = PartsFleet(FOUR_VMS, seed=4)
+        fleet = MemoryFleet(FOUR_VMS, seed=4)
         fleet.network.faults.repeat = 1.0
         async with fleet.running() as vms:
             await trio.sleep(5)
--- a/tests/coordination/test_rebalancer.py
+++ b/tests/coordination/test_rebalancer.py
@@ -8,7 +8,7 @@
 from plantainshed_coordination.division import divide
 from plantainshed_coordination.ledger import read_ledger, shard_of
 from plantainshed_coordination.peer_pb2 import LowerParts, Part, SetParts
-from tests.support import FOUR_VMS, WORKSPACE, PartsFleet, on_mock_clock
+from tests.support import FOUR_VMS, WORKSPACE, MemoryFleet, on_mock_clock
 
 SHARD = shard_of(WORKSPACE)
 
@@ -25,7 +25,7 @@
 class TestRebalancer(unittest.TestCase):
     @on_mock_clock
     async def test_parts_follow_demand(self):
-        fleet = PartsFleet(FOUR_VMS)
+        fleet = MemoryFleet(FOUR_VMS)
         async with fleet.running() as vms:
             await trio.sleep(10)
             await ask_for(vms["b-1"], 40, 10)
@@ -40,7 +40,7 @@
         A VM that held most of a rate dies; the platform drops it from its
         list some seconds later; its part has to go to the others.
         """
-        fleet = PartsFleet(FOUR_VMS)
+        fleet = MemoryFleet(FOUR_VMS)
         async with fleet.running() as vms:
             await trio.sleep(10)
             await ask_for(vms["a-1"], 40, 10)
@@ -57,7 +57,7 @@
         A VM is cut off but alive. The others hear nothing of it and would
         give its part to each other, while it goes on using it.
         """
-        fleet = PartsFleet(FOUR_VMS)
+        fleet = MemoryFleet(FOUR_VMS)
         async with fleet.running() as vms:
             await trio.sleep(10)
             held = vms["b-2"].part.units
@@ -73,7 +73,7 @@
         The store takes a ledger write and its answer is lost; the rebalancer
         must find out which it was instead of guessing.
         """
-        fleet = PartsFleet(FOUR_VMS)
+        fleet = MemoryFleet(FOUR_VMS)
         async with fleet.running() as vms:
             await trio.sleep(10)
             for vm in ("a-1", "b-2", "a-2"):
@@ -85,7 +85,7 @@
 
     @on_mock_clock
     async def test_loans_work_while_the_store_is_down(self):
-        fleet = PartsFleet(FOUR_VMS)
+        fleet = MemoryFleet(FOUR_VMS)
         async with fleet.running() as vms:
             await trio.sleep(10)
             await fleet.platform.set_down(True)
@@ -99,7 +99,7 @@
         Its part fell for a ledger version that was never written, so that it
         believed no older one and nobody wrote a newer one.
         """
-        fleet = PartsFleet(FOUR_VMS)
+        fleet = MemoryFleet(FOUR_VMS)
         async with fleet.running() as vms:
             await trio.sleep(10)
             version = (await read_ledger(fleet.platform, SHARD)).version
@@ -119,7 +119,7 @@
         A part falls for version 6; then a copy of version 5 arrives, which
         still names the old part. By then version 6 has given it to another.
         """
-        fleet = PartsFleet(FOUR_VMS)
+        fleet = MemoryFleet(FOUR_VMS)
         async with fleet.running() as vms:
             holdings = vms["a-1"].holdings
             old = SetParts(shard=SHARD, version=5)
@@ -134,7 +134,7 @@
     @on_mock_clock
     async def test_tokens_of_a_version_count_once(self):
         """A burst doubles when the network repeats a datagram."""
-        fleet = PartsFleet(FOUR_VMS)
+        fleet = MemoryFleet(FOUR_VMS)
         async with fleet.running() as vms:
             part = vms["a-1"].part
             message = SetParts(shard=SHARD, version=5)
@@ -148,7 +148,7 @@
 
     @on_mock_clock
     async def test_leaving_vm_cannot_be_raised_again(self):
-        fleet = PartsFleet(FOUR_VMS)
+        fleet = MemoryFleet(FOUR_VMS)
         async with fleet.running() as vms:
             await trio.sleep(10)
             vms["a-1"].holdings.leave()
--- a/tests/coordination/test_removed_budgets.py
+++ b/tests/coordination/test_removed_budgets.py
@@ -9,7 +9,7 @@
 import trio
 
 from plantainshed_coordination.budgets import BudgetKind, BudgetSpec
-from tests.support import FOUR_VMS, WORKSPACE, PartsFleet, on_mock_clock
+from tests.support import FOUR_VMS, WORKSPACE, MemoryFleet, on_mock_clock
 
 # So slow a rate that within a test only a loan brings another token.
 SLOW = BudgetSpec("workspace/comune", BudgetKind.RATE, rate=0.2, burst=8.0)
@@ -28,7 +28,7 @@
                 await self.borrow_while_removed(milliseconds / 1000)
 
     async def borrow_while_removed(self, after_s: float):
-        fleet = PartsFleet(TWO_VMS, specs=[SLOW])
+        fleet = MemoryFleet(TWO_VMS, specs=[SLOW])
         async with fleet.running() as vms:
             await trio.sleep(SETTLE_S)
             part = vms["a-1"].holdings.rate(SLOW.name)
@@ -53,7 +53,7 @@
                 await self.refill_while_removed(given_back)
 
     async def refill_while_removed(self, given_back: list[BudgetSpec]):
-        fleet = PartsFleet(ONE_VM, specs=[QUICK])
+        fleet = MemoryFleet(ONE_VM, specs=[QUICK])
         async with fleet.running() as vms:
             await trio.sleep(SETTLE_S)
             holdings = vms["a-1"].holdings
@@ -76,7 +76,7 @@
 
     @on_mock_clock
     async def test_while_its_parts_are_moved(self):
-        fleet = PartsFleet(FOUR_VMS)
+        fleet = MemoryFleet(FOUR_VMS)
         async with fleet.running() as vms:
             await trio.sleep(10)
             # Answers take a while; parts must move to where requests come.
--- a/tests/coordination/test_rumors.py
+++ b/tests/coordination/test_rumors.py
@@ -4,13 +4,13 @@
 
 import trio
 
-from tests.support import FOUR_VMS, PartsFleet, on_mock_clock
+from tests.support import FOUR_VMS, MemoryFleet, on_mock_clock
 
 
 class TestRumorBook(unittest.TestCase):
     @on_mock_clock
     async def test_reaches_everybody_without_the_store(self):
-        fleet = PartsFleet(FOUR_VMS)
+        fleet = MemoryFleet(FOUR_VMS)
         async with fleet.running() as vms:
             await trio.sleep(5)
             await fleet.platform.set_down(True)
@@ -26,7 +26,7 @@
         The domain was cut off while the key was withdrawn, and the flooding
         had long ended when the cut healed.
         """
-        fleet = PartsFleet(FOUR_VMS)
+        fleet = MemoryFleet(FOUR_VMS)
         async with fleet.running() as vms:
             await trio.sleep(5)
             fleet.cut(["a-1", "a-2"], ["b-1", "b-2"])
@@ -40,7 +40,7 @@
     @on_mock_clock
     async def test_reaches_a_fresh_vm(self):
         """A key that was withdrawn works again on a VM that was replaced."""
-        fleet = PartsFleet(FOUR_VMS)
+        fleet = MemoryFleet(FOUR_VMS)
         async with fleet.running() as vms:
             await trio.sleep(5)
             vms["a-1"].rumors.begin("key-withdrawn", "k1")
@@ -53,7 +53,7 @@
 
     @on_mock_clock
     async def test_survives_heavy_loss(self):
-        fleet = PartsFleet(FOUR_VMS, seed=3)
+        fleet = MemoryFleet(FOUR_VMS, seed=3)
         fleet.network.faults.loss = 0.5
         async with fleet.running() as vms:
             await trio.sleep(10)
@@ -64,7 +64,7 @@
 
     @on_mock_clock
     async def test_expires(self):
-        fleet = PartsFleet(FOUR_VMS)
+        fleet = MemoryFleet(FOUR_VMS)
         async with fleet.running() as vms:
             await trio.sleep(5)
             vms["a-1"].rumors.begin("crash-mark", "x", ttl_s=10)
--- a/tests/support.py
+++ b/tests/support.py
@@ -57,7 +57,7 @@
 class PartsVm:
     """The coordination parts of one VM, without the entry daemon."""
 
-    def __init__(self, fleet: "PartsFleet", vm: str, incarnation: int):
+    def __init__(self, fleet: "MemoryFleet", vm: str, incarnation: int):
         domain = fleet.domains[vm]
         identity = Identity(vm, domain, incarnation)
         self.transport = fleet.network.open(vm)
@@ -121,7 +121,7 @@
         return next(iter(self.holdings.parts.values()))
 
 
-class PartsFleet:
+class MemoryFleet:
     """A few `PartsVm` on one network in memory."""
 
     def __init__(self, domains, specs=(WORKSPACE,), seed=1, platform_of=None):
