--- a/packages/http/plantainshed_http/client.py
+++ b/packages/http/plantainshed_http/client.py
@@ -53,7 +53,7 @@
                 stream = await trio.open_tcp_stream(host.strip("[]"), int(port))
         except (OSError, trio.TooSlowError) as error:
             raise ConnectFailed(f"{address}: {error or 'timed out'}") from error
-        notice_dead_peer(stream)
+        enable_keepalive(stream)
         return cls(stream, address)
 
     async def send_head(self, method: str, target: str, headers: Headers):
@@ -68,19 +68,19 @@
             self.h11.start_next_cycle()
         self.send_started = False
         self.method = method
-        self._add(_checked_request(method, target, headers))
+        self._buffer_event(_build_request(method, target, headers))
 
     async def send_body(self, chunk: bytes):
         """Send a piece of the body."""
-        await self._send(h11.Data(data=chunk))
+        await self._send_event(h11.Data(data=chunk))
 
     def buffer_body(self, chunk: bytes):
         """Add a piece of the body that leaves with what follows."""
-        self._add(h11.Data(data=chunk))
+        self._buffer_event(h11.Data(data=chunk))
 
     async def end_request(self):
         """End the request."""
-        await self._send(h11.EndOfMessage())
+        await self._send_event(h11.EndOfMessage())
 
     async def response_head(self) -> ResponseHead:
         """Return the head of the final response."""
@@ -110,14 +110,14 @@
         Call it after that answer has been read to its end; what follows on the
         connection is read as the answer that is still missing.
         """
-        at_hand, _ = self.h11.trailing_data
+        buffered, _ = self.h11.trailing_data
         self.h11 = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
         headers = [(b"host", self.address.encode())]
         # Only the method matters for where a response ends; nothing is sent.
         self.h11.send(h11.Request(method=self.method, target="/", headers=headers))
         self.h11.send(h11.EndOfMessage())
-        if at_hand:
-            self.h11.receive_data(at_hand)
+        if buffered:
+            self.h11.receive_data(buffered)
 
     @property
     def has_buffered_data(self) -> bool:
@@ -164,14 +164,14 @@
         """Close at once; the server sees its work as cancelled."""
         await trio.aclose_forcefully(self.stream)
 
-    def _add(self, event):
+    def _buffer_event(self, event):
         try:
             self.unsent += self.h11.send(event) or b""
         except h11.LocalProtocolError as error:
             raise ConnectionBroken(f"{self.address}: {error}") from error
 
-    async def _send(self, event):
-        self._add(event)
+    async def _send_event(self, event):
+        self._buffer_event(event)
         data, self.unsent = self.unsent, b""
         if data:
             self.send_started = True
@@ -198,7 +198,7 @@
             self.h11.receive_data(data)
 
 
-def _checked_request(method: str, target: str, headers: Headers) -> h11.Request:
+def _build_request(method: str, target: str, headers: Headers) -> h11.Request:
     # The event checks itself when it is made, not only when it is sent.
     try:
         return h11.Request(method=method, target=target, headers=headers)
@@ -206,7 +206,7 @@
         raise UnsendableRequest(f"the request cannot be sent on: {error}") from error
 
 
-def notice_dead_peer(stream: trio.SocketStream):
+def enable_keepalive(stream: trio.SocketStream):
     """Let the kernel end a connection whose other side has gone silent.
 
     A partition or a lost machine sends nothing; without probes a reader would
--- a/packages/http/plantainshed_http/messages.py
+++ b/packages/http/plantainshed_http/messages.py
@@ -70,12 +70,14 @@
 
 def end_to_end_headers(headers: Headers) -> Headers:
     """Return the headers that concern the far end, not this connection."""
-    named = set()
+    connection_options = set()
     for key, value in headers:
         if key == b"connection":
-            named.update(part.strip().lower() for part in value.split(b","))
+            connection_options.update(
+                part.strip().lower() for part in value.split(b",")
+            )
     return [
         (key, value)
         for key, value in headers
-        if key not in HOP_BY_HOP and key not in named
+        if key not in HOP_BY_HOP and key not in connection_options
     ]
--- a/packages/http/plantainshed_http/platform_client.py
+++ b/packages/http/plantainshed_http/platform_client.py
@@ -32,9 +32,9 @@
 CALL_TIMEOUT_S = 5.0
 WATCH_TIMEOUT_S = 60.0
 WATCH_MARGIN_S = 5.0
-STATUS_MISSING = 404
-STATUS_NO_CHANGE = 304
-STATUS_CONFLICT = 412
+STATUS_NOT_FOUND = 404
+STATUS_NOT_MODIFIED = 304
+STATUS_PRECONDITION_FAILED = 412
 
 
 class HttpPlatform:
@@ -52,7 +52,7 @@
     async def get(self, kind: str, name: str) -> StoredObject:
         """Return an object, or raise `ObjectMissing`."""
         head, body = await self._read(f"/objects/{kind}/{name}", CALL_TIMEOUT_S)
-        return _stored(kind, name, head, body)
+        return _make_object(kind, name, head, body)
 
     async def put(
         self, kind: str, name: str, value: bytes, expected_version: int
@@ -72,10 +72,10 @@
         except HttpError as error:
             # The bytes may have arrived: only the answer is known to be lost.
             raise OutcomeUnknown(f"PUT {path}: {error}") from error
-        if head.status == STATUS_CONFLICT:
+        if head.status == STATUS_PRECONDITION_FAILED:
             raise VersionConflict(f"{kind}/{name} is not at {expected_version}")
         _require_success(head, path, body)
-        return _version(head)
+        return _parse_version(head)
 
     async def list_objects(self, kind: str) -> list[StoredObject]:
         """Return all objects of a kind."""
@@ -94,8 +94,8 @@
         path = f"/objects/{kind}/{name}?not={known_version}&wait={WATCH_TIMEOUT_S:g}"
         while True:
             head, body = await self._read(path, WATCH_TIMEOUT_S + WATCH_MARGIN_S)
-            if head.status != STATUS_NO_CHANGE:
-                return _stored(kind, name, head, body)
+            if head.status != STATUS_NOT_MODIFIED:
+                return _make_object(kind, name, head, body)
             await trio.lowlevel.checkpoint()
 
     async def list_vms(self) -> list[ListedVm]:
@@ -108,21 +108,21 @@
             head, body = await fetch(self.address, "GET", path, timeout_s=timeout_s)
         except HttpError as error:
             raise PlatformUnavailable(f"GET {path}: {error}") from error
-        if head.status != STATUS_NO_CHANGE:
+        if head.status != STATUS_NOT_MODIFIED:
             _require_success(head, path, body)
         return head, body
 
 
-def _stored(kind, name, head, body) -> StoredObject:
-    return StoredObject(kind, name, _version(head), body)
+def _make_object(kind, name, head, body) -> StoredObject:
+    return StoredObject(kind, name, _parse_version(head), body)
 
 
-def _version(head) -> int:
+def _parse_version(head) -> int:
     return int((head.header(b"etag") or '"0"').strip('"'))
 
 
 def _require_success(head, path, body):
-    if head.status == STATUS_MISSING:
+    if head.status == STATUS_NOT_FOUND:
         raise ObjectMissing(path)
     if head.status >= 300:
         text = body.decode("utf-8", "replace").strip()
--- a/packages/http/plantainshed_http/server.py
+++ b/packages/http/plantainshed_http/server.py
@@ -28,7 +28,7 @@
 )
 
 Handler = Callable[["Exchange"], Awaitable[None]]
-Report = Callable[[Exception], None]
+ErrorReporter = Callable[[Exception], None]
 STOP_GRACE_S = 0.5
 SOCKET_ERRORS = (trio.BrokenResourceError, trio.ClosedResourceError)
 
@@ -72,9 +72,9 @@
     def set(self):
         """Let exchanges end; idle connections get a moment for a last one."""
         self.event.set()
-        last_moment = trio.current_time() + STOP_GRACE_S
+        latest_deadline = trio.current_time() + STOP_GRACE_S
         for scope in list(self.idle_scopes):
-            scope.deadline = min(scope.deadline, last_moment)
+            scope.deadline = min(scope.deadline, latest_deadline)
 
 
 def log_error(error: Exception):
@@ -87,7 +87,7 @@
     listeners: list[trio.SocketListener],
     stopping: Stopping,
     limits: ConnectionLimits | None = None,
-    report: Report = log_error,
+    report: ErrorReporter = log_error,
 ):
     """Serve connections until stopped and all exchanges have ended.
 
@@ -113,7 +113,7 @@
             await stopping.event.wait()
             accepting.cancel_scope.cancel()
             for listener in listeners:
-                for stream in _take_waiting(listener):
+                for stream in _accept_pending(listener):
                     connections.start_soon(serve, stream)
                 listener.socket.close()
 
@@ -123,21 +123,21 @@
         await trio.serve_listeners(serve, [listener], handler_nursery=connections)
 
 
-def _take_waiting(listener: trio.SocketListener) -> Iterator[trio.SocketStream]:
+def _accept_pending(listener: trio.SocketListener) -> Iterator[trio.SocketStream]:
     """Yield the connections that the system has taken and nobody has accepted.
 
     Closing the listener resets them, though their callers have connected and sent
     their requests; a burst leaves many. Nothing is awaited up to the close, so that
     no more can come in between.
     """
-    raw = socket.socket(fileno=listener.socket.fileno())
+    raw_socket = socket.socket(fileno=listener.socket.fileno())
     try:
         with contextlib.suppress(OSError):
             while True:
-                connection, _ = raw.accept()
+                connection, _ = raw_socket.accept()
                 yield trio.SocketStream(trio.socket.from_stdlib_socket(connection))
     finally:
-        raw.detach()
+        raw_socket.detach()
 
 
 class Exchange:
@@ -156,15 +156,15 @@
         self.caller = caller
         self.started = False
         self.caller_disconnected = False
-        self._on_caller_left: Callable[[], None] = lambda: None
+        self._on_disconnect: Callable[[], None] = lambda: None
 
     async def body(self) -> AsyncIterator[bytes]:
         """Yield the request's body, a piece at a time."""
         while True:
-            event = await self._connection.next_body_event()
-            if event is None:
+            chunk = await self._connection.next_body_chunk()
+            if chunk is None:
                 return
-            yield event
+            yield chunk
 
     async def read_body(self, limit: int) -> bytes:
         """Return the whole body, or raise `BadMessage` (413) above the limit."""
@@ -188,7 +188,7 @@
     async def start(self, status: int, headers: Headers):
         """Begin an answer. Its head leaves with what follows, or by `flush`."""
         self.started = True
-        self._connection.begin_answer(status, headers)
+        self._connection.buffer_response_head(status, headers)
 
     async def flush(self):
         """Send what has not left yet; for answers whose body comes later."""
@@ -210,27 +210,27 @@
         a caller who has long gone. Use it after the body has been read: what
         arrives then is the end of the stream or the start of a next request.
         """
-        async with self._watching_caller() as nursery:
-            self._on_caller_left = nursery.cancel_scope.cancel
+        async with self._run_disconnect_watcher() as nursery:
+            self._on_disconnect = nursery.cancel_scope.cancel
             yield nursery.cancel_scope
 
     @contextlib.asynccontextmanager
     async def detect_caller_disconnect(self):
         """Set `caller_disconnected` when the caller closes its side meanwhile."""
-        async with self._watching_caller():
+        async with self._run_disconnect_watcher():
             yield
 
     @contextlib.asynccontextmanager
-    async def _watching_caller(self):
+    async def _run_disconnect_watcher(self):
         async with open_plain_nursery() as nursery:
-            nursery.start_soon(self._watch_caller)
+            nursery.start_soon(self._watch_for_disconnect)
             yield nursery
             nursery.cancel_scope.cancel()
 
-    async def _watch_caller(self):
-        if await self._connection.wait_for_end():
+    async def _watch_for_disconnect(self):
+        if await self._connection.wait_for_disconnect():
             self.caller_disconnected = True
-            self._on_caller_left()
+            self._on_disconnect()
 
 
 class _Connection:
@@ -262,7 +262,7 @@
             try:
                 request = await self._next_request()
             except BadMessage as problem:
-                await self._refuse(problem)
+                await self._send_error(problem)
                 return
             if request is None:
                 return
@@ -283,7 +283,7 @@
         except BadMessage as problem:
             if exchange.started:
                 raise CallerDisconnected(problem.reason) from problem
-            await self._refuse(problem)
+            await self._send_error(problem)
         except (CallerDisconnected, *SOCKET_ERRORS):
             raise
         except Exception as error:
@@ -307,8 +307,8 @@
         if not isinstance(event, h11.Request):
             return None
         self.method = bytes(event.method)
-        request = _checked_request(event)
-        if not _announces_body(request):
+        request = _validate_request(event)
+        if not _declares_body(request):
             # Nothing is to be read of it. Left unread, its end would make the
             # connection close after an answer that never looked at the body.
             self._parse()
@@ -316,10 +316,8 @@
 
     async def _wait_while_idle(self) -> bool:
         """Wait for the first bytes of a request; False ends the connection."""
-        patience_s = (
-            STOP_GRACE_S if self.stopping.is_set else self.limits.idle_timeout_s
-        )
-        with trio.move_on_after(patience_s) as scope:
+        timeout_s = STOP_GRACE_S if self.stopping.is_set else self.limits.idle_timeout_s
+        with trio.move_on_after(timeout_s) as scope:
             self.stopping.idle_scopes.add(scope)
             try:
                 await self._receive()
@@ -328,7 +326,7 @@
                 self.stopping.idle_scopes.discard(scope)
         return False
 
-    async def next_body_event(self) -> bytes | None:
+    async def next_body_chunk(self) -> bytes | None:
         """Return the next piece of the body, None at its end."""
         if self.h11.they_are_waiting_for_100_continue:
             await self.send_event(
@@ -349,7 +347,7 @@
                 raise CallerDisconnected("the caller left in the middle of the body")
         return None
 
-    async def wait_for_end(self) -> bool:
+    async def wait_for_disconnect(self) -> bool:
         """Wait until the caller sends something; True if that is its end."""
         try:
             data = await self.stream.receive_some(READ_BYTES)
@@ -361,9 +359,9 @@
             self.h11.receive_data(data)
         return not data
 
-    def begin_answer(self, status: int, headers: Headers):
-        closes = self.stopping.is_set or self.stopping.sends_connection_close
-        if closes or self.h11.their_state is not h11.DONE:
+    def buffer_response_head(self, status: int, headers: Headers):
+        will_close = self.stopping.is_set or self.stopping.sends_connection_close
+        if will_close or self.h11.their_state is not h11.DONE:
             headers = [*headers, (b"connection", b"close")]
         response = h11.Response(status_code=status, headers=headers)
         self.unsent += self.h11.send(response)
@@ -390,7 +388,7 @@
         data = await self.stream.receive_some(READ_BYTES)
         self.h11.receive_data(data)
 
-    async def _refuse(self, problem: BadMessage):
+    async def _send_error(self, problem: BadMessage):
         if self.h11.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             return
         body = (problem.reason + "\n").encode()
@@ -413,16 +411,16 @@
         """
         with contextlib.suppress(trio.ClosedResourceError):
             await self.stream.send_eof()
-        left = LINGER_BYTES
+        remaining_bytes = LINGER_BYTES
         with trio.move_on_after(LINGER_TIMEOUT_S):
-            while left > 0:
+            while remaining_bytes > 0:
                 data = await self.stream.receive_some(READ_BYTES)
                 if not data:
                     return
-                left -= len(data)
+                remaining_bytes -= len(data)
 
 
-def _checked_request(event: h11.Request) -> RequestHead:
+def _validate_request(event: h11.Request) -> RequestHead:
     headers = [(bytes(name), bytes(value)) for name, value in event.headers]
     names = [name for name, _ in headers]
     if b"transfer-encoding" in names and b"content-length" in names:
@@ -439,7 +437,7 @@
     return RequestHead(event.method.decode(), target, headers)
 
 
-def _announces_body(request: RequestHead) -> bool:
+def _declares_body(request: RequestHead) -> bool:
     names = {name for name, _ in request.headers}
     return bool(names & {b"content-length", b"transfer-encoding"})
 
--- a/packages/standins/plantainshed_standins/memory_network.py
+++ b/packages/standins/plantainshed_standins/memory_network.py
@@ -72,9 +72,9 @@
 
     def open(self, address: str) -> "MemoryTransport":
         """Return the end for an address; an earlier one gets nothing more."""
-        end = MemoryTransport(self, address)
-        self.transports[address] = end
-        return end
+        transport = MemoryTransport(self, address)
+        self.transports[address] = transport
+        return transport
 
     def passes(self, sender: str, receiver: str) -> bool:
         """Tell whether a datagram gets through."""
@@ -98,7 +98,7 @@
         self.sent_messages = 0
         self.received_bytes = 0
         self.get_value: Callable[[str], bytes | None] = lambda name: None
-        self._inbox, self._outbox = trio.open_memory_channel(math.inf)
+        self._inbox_send, self._inbox_receive = trio.open_memory_channel(math.inf)
 
     async def send(self, address: str, data: bytes) -> None:
         """Send a datagram."""
@@ -112,25 +112,25 @@
 
     async def receive(self) -> bytes:
         """Return the next datagram."""
-        return await self._outbox.receive()
+        return await self._inbox_receive.receive()
 
     async def fetch(self, address: str, name: str) -> bytes:
         """Fetch a value from another end, as a bulk exchange would."""
-        there = self.network.delay_between(self.address, address)
-        end = self.network.transports.get(address)
-        if end is None or self.network.faults.is_cut(self.address, address):
+        one_way_s = self.network.delay_between(self.address, address)
+        receiver = self.network.transports.get(address)
+        if receiver is None or self.network.faults.is_cut(self.address, address):
             await trio.sleep(1.0)
             raise PeerTimeout(f"{address}: not reachable")
-        await trio.sleep(2 * there)
-        value = end.get_value(name)
+        await trio.sleep(2 * one_way_s)
+        value = receiver.get_value(name)
         if value is None:
             raise PeerTimeout(f"{address}: has no {name}")
-        end.sent_bytes += len(value)
+        receiver.sent_bytes += len(value)
         return value
 
     async def _deliver(self, address, data):
         await trio.sleep(self.network.delay_between(self.address, address))
-        end = self.network.transports.get(address)
-        if end is not None:
-            end.received_bytes += len(data)
-            end._inbox.send_nowait(data)
+        receiver = self.network.transports.get(address)
+        if receiver is not None:
+            receiver.received_bytes += len(data)
+            receiver._inbox_send.send_nowait(data)
--- a/packages/standins/plantainshed_standins/memory_platform.py
+++ b/packages/standins/plantainshed_standins/memory_platform.py
@@ -60,14 +60,14 @@
 
     async def get(self, kind: str, name: str) -> StoredObject:
         """Return an object, or raise `ObjectMissing`."""
-        await self._begin("get")
+        await self._begin_call("get")
         return self._find(kind, name)
 
     async def put(
         self, kind: str, name: str, value: bytes, expected_version: int
     ) -> int:
         """Write an object on the condition of its version."""
-        await self._begin("put")
+        await self._begin_call("put")
         if len(value) > MAX_VALUE_BYTES:
             raise PlatformUnavailable(f"{kind}/{name}: value of {len(value)} bytes")
         stored = self.objects.get((kind, name))
@@ -85,14 +85,14 @@
 
     async def list_objects(self, kind: str) -> list[StoredObject]:
         """Return all objects of a kind."""
-        await self._begin("list")
+        await self._begin_call("list")
         return [item for item in self.objects.values() if item.kind == kind]
 
     async def wait_for_change(
         self, kind: str, name: str, known_version: int
     ) -> StoredObject:
         """Return the object as soon as its version is not the known one."""
-        await self._begin("watch")
+        await self._begin_call("watch")
         while True:
             stored = self.objects.get((kind, name))
             if stored and stored.version != known_version:
@@ -104,7 +104,7 @@
 
     async def list_vms(self) -> list[ListedVm]:
         """Return the list of VMs."""
-        await self._begin("vms")
+        await self._begin_call("vms")
         return list(self.vms.values())
 
     async def set_down(self, down: bool):
@@ -113,7 +113,7 @@
         async with self._changed:
             self._changed.notify_all()
 
-    async def _begin(self, call):
+    async def _begin_call(self, call):
         self.calls[call] += 1
         if self.faults.delay_s:
             await trio.sleep(self.faults.delay_s)
--- a/packages/standins/plantainshed_standins/platform_server.py
+++ b/packages/standins/plantainshed_standins/platform_server.py
@@ -40,7 +40,7 @@
             elif len(parts) == 2 and parts[0] == "objects":
                 await self._list_objects(exchange, parts[1])
             elif len(parts) == 3 and parts[0] == "objects":
-                await self._one_object(
+                await self._handle_object(
                     exchange, parts[1], parts[2], parse_qs(url.query)
                 )
             else:
@@ -61,18 +61,18 @@
         await exchange.reply(200, [], body.encode())
 
     async def _list_objects(self, exchange, kind):
-        found = await self.platform.list_objects(kind)
+        objects = await self.platform.list_objects(kind)
         items = [
             {
                 "name": item.name,
                 "version": item.version,
                 "value": base64.b64encode(item.value).decode(),
             }
-            for item in found
+            for item in objects
         ]
         await exchange.reply(200, [], json.dumps(items).encode())
 
-    async def _one_object(self, exchange, kind, name, query):
+    async def _handle_object(self, exchange, kind, name, query):
         if exchange.request.method == "PUT":
             await self._put(exchange, kind, name)
         elif "not" in query:
@@ -83,18 +83,20 @@
 
     async def _put(self, exchange, kind, name):
         value = await exchange.read_body(MAX_VALUE_BYTES)
-        expected = ABSENT
+        expected_version = ABSENT
         if exchange.request.header(b"if-none-match") != "*":
-            expected = int((exchange.request.header(b"if-match") or "0").strip('"'))
-        version = await self.platform.put(kind, name, value, expected)
+            expected_version = int(
+                (exchange.request.header(b"if-match") or "0").strip('"')
+            )
+        version = await self.platform.put(kind, name, value, expected_version)
         await exchange.reply(200, [_etag(version)])
 
     async def _watch(self, exchange, kind, name, query):
-        known = int(query["not"][0])
+        known_version = int(query["not"][0])
         wait_s = float(query.get("wait", [DEFAULT_WAIT_S])[0])
         stored = None
         with trio.move_on_after(wait_s):
-            stored = await self.platform.wait_for_change(kind, name, known)
+            stored = await self.platform.wait_for_change(kind, name, known_version)
         if stored is None:
             await exchange.reply(304, [])
         else:
--- a/tests/support.py
+++ b/tests/support.py
@@ -54,7 +54,7 @@
     return run
 
 
-class PartsVm:
+class MemoryVm:
     """The coordination parts of one VM, without the entry daemon."""
 
     def __init__(self, fleet: "MemoryFleet", vm: str, incarnation: int):
@@ -122,7 +122,7 @@
 
 
 class MemoryFleet:
-    """A few `PartsVm` on one network in memory."""
+    """A few `MemoryVm` on one network in memory."""
 
     def __init__(self, domains, specs=(WORKSPACE,), seed=1, platform_of=None):
         self.domains = dict(domains)
@@ -130,13 +130,13 @@
         self.network = MemoryNetwork(seed)
         self.platform = MemoryPlatform()
         self.platform_of = platform_of or (lambda vm: self.platform)
-        self.vms: dict[str, PartsVm] = {}
+        self.vms: dict[str, MemoryVm] = {}
         self.incarnation = 0
         self.nursery = None
 
-    def start(self, vm: str) -> PartsVm:
+    def start(self, vm: str) -> MemoryVm:
         self.incarnation += 1
-        started = self.vms[vm] = PartsVm(self, vm, self.incarnation)
+        started = self.vms[vm] = MemoryVm(self, vm, self.incarnation)
         self.platform.vms[vm] = ListedVm(vm, leaving=False)
         self.nursery.start_soon(started.run)
         return started
