--- a/packages/http/plantainshed_http/__init__.py
+++ b/packages/http/plantainshed_http/__init__.py
@@ -1,5 +1,5 @@
 """HTTP/1.1 over trio with h11.
 
-`server` answers callers, `client` talks to servers, `platform_client` speaks
-the object store's API. Shared message types stand in `messages`.
+`server` is the HTTP server, `client` the HTTP client, and `platform_client` the
+client for the platform's API. `messages` contains shared types and limits.
 """
--- a/packages/http/plantainshed_http/client.py
+++ b/packages/http/plantainshed_http/client.py
@@ -1,4 +1,4 @@
-"""A client's connection to an HTTP server, used for one exchange after another."""
+"""HTTP/1.1 client: a persistent connection, and a function for single requests."""
 
 import contextlib
 import select
@@ -12,14 +12,15 @@
 from .messages import MAX_HEAD_BYTES, READ_BYTES, Headers, ResponseHead
 
 SOCKET_ERRORS = (trio.BrokenResourceError, trio.ClosedResourceError)
-# A dead connection is noticed after about 3 s, the kernel's finest steps.
+# These values detect a dead connection after about 3 s. The kernel accepts only
+# whole seconds, so the idle time and the interval can't be shorter.
 KEEPALIVE_IDLE_S = 1
 KEEPALIVE_INTERVAL_S = 1
 KEEPALIVE_PROBES = 2
 
 
 class ClientConnection:
-    """An open connection to a server.
+    """An open connection to a server, used for one exchange at a time.
 
     Parameters
     ----------
@@ -30,9 +31,12 @@
     Attributes
     ----------
     send_started : bool
-        Whether any byte of the present request may have reached the server.
+        Whether any byte of the current request may have reached the server.
     idle_s : float
-        How long it was idle before the present request; 0 if it is new.
+        How long the connection was idle before the current request; 0 for a new
+        connection. Set by the connection pool that keeps it.
+    unsent : bytes
+        Encoded bytes that wait for the next send.
     """
 
     def __init__(self, stream, address: str):
@@ -46,7 +50,7 @@
 
     @classmethod
     async def open(cls, address: str, timeout_s: float) -> "ClientConnection":
-        """Connect, or raise `ConnectFailed`."""
+        """Connect to ``IP:PORT``, or raise `ConnectFailed`."""
         host, _, port = address.rpartition(":")
         try:
             with trio.fail_after(timeout_s):
@@ -57,12 +61,16 @@
         return cls(stream, address)
 
     async def send_head(self, method: str, target: str, headers: Headers):
-        """Begin a request. Its head leaves with what follows.
+        """Begin a request.
+
+        The head is buffered. It is sent with the first chunk of the body or
+        with the end of the request.
 
         Raises
         ------
         UnsendableRequest
-            If HTTP does not allow it, as one without a Host. Nothing was sent.
+            If the request is not valid HTTP, for example without a Host header.
+            Nothing was sent.
         """
         if self.h11.our_state is h11.DONE:
             self.h11.start_next_cycle()
@@ -71,19 +79,19 @@
         self._buffer_event(_build_request(method, target, headers))
 
     async def send_body(self, chunk: bytes):
-        """Send a piece of the body."""
+        """Send a chunk of the body, together with all buffered bytes."""
         await self._send_event(h11.Data(data=chunk))
 
     def buffer_body(self, chunk: bytes):
-        """Add a piece of the body that leaves with what follows."""
+        """Buffer a chunk of the body; it is sent with the next chunk or the end."""
         self._buffer_event(h11.Data(data=chunk))
 
     async def end_request(self):
-        """End the request."""
+        """End the request and send all buffered bytes."""
         await self._send_event(h11.EndOfMessage())
 
     async def response_head(self) -> ResponseHead:
-        """Return the head of the final response."""
+        """Return the head of the final response, after any 1xx responses."""
         while True:
             event = await self._next_event()
             if isinstance(event, h11.Response):
@@ -93,7 +101,7 @@
                 raise ConnectionBroken(f"{self.address} closed before it answered")
 
     async def response_body(self) -> AsyncIterator[bytes]:
-        """Yield the body of the response, a piece at a time."""
+        """Yield the body of the response in chunks."""
         while True:
             event = await self._next_event()
             if isinstance(event, h11.Data):
@@ -104,16 +112,18 @@
                 raise ConnectionBroken(f"{self.address} closed in the middle")
 
     def skip_response(self):
-        """Expect another response to the same request.
+        """Discard the response just read and expect another one.
 
-        A server may send an answer twice, or late, where the next one is due.
-        Call it after that answer has been read to its end; what follows on the
-        connection is read as the answer that is still missing.
+        A server may send a response twice, or a late response to an earlier
+        request, before the response to the current request. Call this after the
+        wrong response has been read completely. The next response on the
+        connection then counts as the one to the current request.
         """
         buffered, _ = self.h11.trailing_data
         self.h11 = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
         headers = [(b"host", self.address.encode())]
-        # Only the method matters for where a response ends; nothing is sent.
+        # The new parser needs the method to find the end of a response. This
+        # request is not sent.
         self.h11.send(h11.Request(method=self.method, target="/", headers=headers))
         self.h11.send(h11.EndOfMessage())
         if buffered:
@@ -121,11 +131,11 @@
 
     @property
     def has_buffered_data(self) -> bool:
-        """Whether more of the response has already arrived."""
+        """Whether received bytes have not been parsed yet."""
         return bool(self.h11.trailing_data[0])
 
     async def read_response(self) -> tuple[ResponseHead, bytes]:
-        """Return a whole response."""
+        """Return the head and the whole body of the response."""
         head = await self.response_head()
         parts = [part async for part in self.response_body()]
         return head, b"".join(parts)
@@ -145,23 +155,23 @@
 
     @property
     def reusable(self) -> bool:
-        """Whether another request can be sent."""
+        """Whether the HTTP state allows another request on this connection."""
         states = {self.h11.our_state, self.h11.their_state}
         return states in ({h11.DONE}, {h11.IDLE})
 
     @property
     def stale(self) -> bool:
-        """Whether the server has closed, or sent something, while idle.
+        """Whether the server closed the connection, or sent data, while idle.
 
-        Sending on such a connection would fail after the bytes have left, and
-        nobody could tell whether the request had run.
+        A request on a closed connection fails only after its bytes were sent, and
+        the client can't know whether the server executed it.
         """
-        # A connection in order has nothing to read while idle. Bytes that
-        # nobody asked for would cross into the next caller's answer.
+        # A healthy idle connection has nothing to read. Unsolicited bytes would be
+        # parsed as the response to the next request, perhaps of another caller.
         return self.h11.trailing_data[0] != b"" or is_readable(self.stream.socket)
 
     async def aclose(self):
-        """Close at once; the server sees its work as cancelled."""
+        """Close immediately; the server takes a running request as cancelled."""
         await trio.aclose_forcefully(self.stream)
 
     def _buffer_event(self, event):
@@ -199,7 +209,7 @@
 
 
 def _build_request(method: str, target: str, headers: Headers) -> h11.Request:
-    # The event checks itself when it is made, not only when it is sent.
+    # h11 validates a request when the event is created, not only on sending.
     try:
         return h11.Request(method=method, target=target, headers=headers)
     except h11.LocalProtocolError as error:
@@ -207,10 +217,11 @@
 
 
 def enable_keepalive(stream: trio.SocketStream):
-    """Let the kernel end a connection whose other side has gone silent.
+    """Enable TCP keepalive, so that the kernel closes connections to dead peers.
 
-    A partition or a lost machine sends nothing; without probes a reader would
-    wait for as long as its own time-out, and a waiting watch for many seconds.
+    After a network partition or the loss of a machine, the peer sends nothing.
+    Without keepalive probes a reader would wait for its whole timeout, which for
+    a long-polling watch is many seconds.
     """
     stream.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     stream.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
@@ -219,7 +230,7 @@
 
 
 def is_readable(sock) -> bool:
-    """Tell, without waiting, whether a socket has bytes, an end or an error."""
+    """Return whether a socket has data, end of stream or an error, without waiting."""
     descriptor = sock.fileno()
     if descriptor < 0:
         return True
@@ -230,7 +241,7 @@
 
 @contextlib.asynccontextmanager
 async def connected(address: str, timeout_s: float):
-    """Open a connection for the length of a block."""
+    """Open a connection and close it at the end of the block."""
     connection = await ClientConnection.open(address, timeout_s)
     try:
         yield connection
@@ -246,12 +257,12 @@
     body: bytes = b"",
     timeout_s: float = 10.0,
 ) -> tuple[ResponseHead, bytes]:
-    """Send one request on a connection of its own.
+    """Send one request on a new connection and return the response.
 
     Raises
     ------
     HttpError
-        Also when the time is over.
+        If the request fails or takes longer than `timeout_s`.
     """
     try:
         with trio.fail_after(timeout_s):
--- a/packages/http/plantainshed_http/errors.py
+++ b/packages/http/plantainshed_http/errors.py
@@ -1,19 +1,23 @@
-"""Errors of the HTTP layer; `h11` and socket errors never leave it."""
+"""Errors of the HTTP layer.
+
+The client raises these in place of `h11` and socket errors; the server turns
+`h11` errors into `BadMessage`.
+"""
 
 
 class HttpError(Exception):
-    """Base of the HTTP layer's errors."""
+    """Base class of all errors of the HTTP layer."""
 
 
 class BadMessage(HttpError):
-    """The other side sent something that is not acceptable HTTP.
+    """The peer sent a message that is invalid or not accepted.
 
     Parameters
     ----------
     status : int
-        Status that a server answers with.
+        Status code of the server's error response.
     reason : str
-        What was wrong, for the person who sent it.
+        Description of the problem, sent to the caller.
     """
 
     def __init__(self, status, reason):
@@ -23,10 +27,10 @@
 
 
 class UnsendableRequest(BadMessage):
-    """A request that HTTP does not allow; nothing of it was sent.
+    """The request is not valid HTTP; none of it was sent.
 
-    It is a `BadMessage` for servers that pass on what a caller sent: the fault
-    is the caller's, and the answer 400.
+    This is a `BadMessage` because a server that forwards a caller's request
+    responds to that caller with status 400.
     """
 
     def __init__(self, reason):
@@ -34,12 +38,16 @@
 
 
 class ConnectFailed(HttpError):
-    """No connection could be opened; nothing was sent."""
+    """The connection could not be opened; nothing was sent."""
 
 
 class ConnectionBroken(HttpError):
-    """The other side went away in the middle of an exchange."""
+    """The connection failed during an exchange, or the response came too late."""
 
 
 class CallerDisconnected(HttpError):
-    """A server's caller went away before its exchange had ended."""
+    """The caller can't receive a complete response.
+
+    It disconnected before the end of its exchange, or the response failed after
+    it had begun.
+    """
--- a/packages/http/plantainshed_http/messages.py
+++ b/packages/http/plantainshed_http/messages.py
@@ -1,4 +1,4 @@
-"""Heads of HTTP messages, and the limits that they are held to."""
+"""Heads of HTTP requests and responses, and the default limits."""
 
 from attrs import frozen
 
@@ -9,6 +9,7 @@
 LINGER_BYTES = 256 * 1024
 LINGER_TIMEOUT_S = 1.0
 
+# Headers that apply to a single connection and must not be forwarded.
 HOP_BY_HOP = frozenset(
     {
         b"connection",
@@ -28,13 +29,13 @@
 
 @frozen
 class RequestHead:
-    """Method, target and headers of a request.
+    """Method, request target and headers of a request.
 
     Parameters
     ----------
     method : str
     target : str
-        Path and query, as sent.
+        Path and query, exactly as received.
     headers : list of (bytes, bytes)
         Names in lower case.
     """
@@ -44,24 +45,24 @@
     headers: Headers
 
     def header(self, name: bytes) -> str | None:
-        """Return the first header of that name, decoded, or None."""
+        """Return the value of the first header with this name, or None."""
         return header_value(self.headers, name)
 
 
 @frozen
 class ResponseHead:
-    """Status and headers of a response."""
+    """Status code and headers of a response."""
 
     status: int
     headers: Headers
 
     def header(self, name: bytes) -> str | None:
-        """Return the first header of that name, decoded, or None."""
+        """Return the value of the first header with this name, or None."""
         return header_value(self.headers, name)
 
 
 def header_value(headers: Headers, name: bytes) -> str | None:
-    """Return the first header of that name, decoded, or None."""
+    """Return the value of the first header with this name, or None."""
     for key, value in headers:
         if key == name:
             return value.decode("latin-1")
@@ -69,7 +70,11 @@
 
 
 def end_to_end_headers(headers: Headers) -> Headers:
-    """Return the headers that concern the far end, not this connection."""
+    """Return the headers without those that apply to one connection only.
+
+    These are the headers in `HOP_BY_HOP` and those that the Connection header
+    names.
+    """
     connection_options = set()
     for key, value in headers:
         if key == b"connection":
--- a/packages/http/plantainshed_http/platform_client.py
+++ b/packages/http/plantainshed_http/platform_client.py
@@ -1,4 +1,4 @@
-"""The platform's object store and VM list over HTTP.
+"""Client for the HTTP API of the platform: the object store and the VM list.
 
 ======== =============================== =========================================
 method   path                            meaning
@@ -10,7 +10,8 @@
 GET      ``/vms``                        the list of VMs
 ======== =============================== =========================================
 
-A conditional write that loses answers 412, a missing object 404, an outage 503.
+Error statuses: 412 if the condition of a write fails, 404 if the object does not
+exist, 503 during an outage.
 """
 
 import base64
@@ -38,7 +39,7 @@
 
 
 class HttpPlatform:
-    """The platform as its HTTP API offers it.
+    """The `Platform` protocol, implemented with requests to the HTTP API.
 
     Parameters
     ----------
@@ -57,7 +58,7 @@
     async def put(
         self, kind: str, name: str, value: bytes, expected_version: int
     ) -> int:
-        """Write an object if it has the expected version; return the new one."""
+        """Write an object if it has the expected version; return its new version."""
         if expected_version == ABSENT:
             condition = (b"if-none-match", b"*")
         else:
@@ -70,10 +71,11 @@
         except ConnectFailed as error:
             raise PlatformUnavailable(str(error)) from error
         except HttpError as error:
-            # The bytes may have arrived: only the answer is known to be lost.
+            # The request may have reached the platform; only the response is known
+            # to be lost.
             raise OutcomeUnknown(f"PUT {path}: {error}") from error
         if head.status == STATUS_PRECONDITION_FAILED:
-            raise VersionConflict(f"{kind}/{name} is not at {expected_version}")
+            raise VersionConflict(f"{kind}/{name} is not at version {expected_version}")
         _require_success(head, path, body)
         return _parse_version(head)
 
@@ -90,7 +92,7 @@
     async def wait_for_change(
         self, kind: str, name: str, known_version: int
     ) -> StoredObject:
-        """Return the object as soon as its version is not the known one."""
+        """Wait until the object's version differs from the known one; return it."""
         path = f"/objects/{kind}/{name}?not={known_version}&wait={WATCH_TIMEOUT_S:g}"
         while True:
             head, body = await self._read(path, WATCH_TIMEOUT_S + WATCH_MARGIN_S)
@@ -99,7 +101,7 @@
             await trio.lowlevel.checkpoint()
 
     async def list_vms(self) -> list[ListedVm]:
-        """Return the live and leaving VMs as the platform last knew them."""
+        """Return the platform's list of live and leaving VMs, which may lag."""
         _, body = await self._read("/vms", CALL_TIMEOUT_S)
         return [ListedVm(item["vm"], item["leaving"]) for item in json.loads(body)]
 
--- a/packages/http/plantainshed_http/server.py
+++ b/packages/http/plantainshed_http/server.py
@@ -1,7 +1,8 @@
-"""An HTTP server: one task for each connection, read straight down.
+"""An HTTP/1.1 server that runs one task per connection.
 
-`serve_http` accepts connections until its `Stopping` is set; from then on each
-connection ends politely after the exchange that it is in.
+`serve_http` accepts connections until its `Stopping` is set. After that, open
+connections finish their current exchange, and responses that begin from then on
+carry ``Connection: close``.
 """
 
 import contextlib
@@ -35,14 +36,16 @@
 
 @define
 class ConnectionLimits:
-    """What callers' connections are held to; may change while they are open.
+    """Timeouts for connections of callers.
+
+    Changes also apply to connections that are already open.
 
     Parameters
     ----------
     head_timeout_s : float
-        Longest time from the first byte of a head to its last.
+        Longest time in which the head of a request must arrive completely.
     idle_timeout_s : float
-        Longest pause between exchanges, and between pieces of a body.
+        Longest pause between two exchanges, and between two chunks of a body.
     """
 
     head_timeout_s: float = HEAD_TIMEOUT_S
@@ -51,13 +54,18 @@
 
 @define
 class Stopping:
-    """Tells connections that no further exchange is to begin.
+    """Shutdown state of a server, shared with its connections.
 
     Attributes
     ----------
+    event : trio.Event
+        Set when the server stops accepting connections.
+    idle_scopes : set of trio.CancelScope
+        Scopes of the connections that wait for their next request.
     sends_connection_close : bool
-        Whether answers say that their connection closes, so that callers go
-        elsewhere while new connections are still taken.
+        Whether responses carry ``Connection: close`` before `event` is set.
+        Callers then reconnect elsewhere while the server still accepts
+        connections.
     """
 
     event: trio.Event = field(factory=trio.Event)
@@ -70,7 +78,11 @@
         return self.event.is_set()
 
     def set(self):
-        """Let exchanges end; idle connections get a moment for a last one."""
+        """Start the shutdown.
+
+        Running exchanges finish. Idle connections are closed unless another
+        request arrives within `STOP_GRACE_S`.
+        """
         self.event.set()
         latest_deadline = trio.current_time() + STOP_GRACE_S
         for scope in list(self.idle_scopes):
@@ -78,7 +90,7 @@
 
 
 def log_error(error: Exception):
-    """Write an error of the program to the standard log."""
+    """Write an unexpected exception and its traceback to the standard log."""
     logging.getLogger(__name__).error("internal error", exc_info=error)
 
 
@@ -89,17 +101,17 @@
     limits: ConnectionLimits | None = None,
     report: ErrorReporter = log_error,
 ):
-    """Serve connections until stopped and all exchanges have ended.
+    """Serve connections until `stopping` is set and all exchanges have ended.
 
     Parameters
     ----------
     handler : callable
-        Answers one exchange.
+        Responds to one exchange.
     listeners : list of trio.SocketListener
     stopping : Stopping
     limits : ConnectionLimits, optional
     report : callable
-        Told of each error of the program that ended an exchange.
+        Called with each unexpected exception that ends an exchange.
     """
     limits = limits or ConnectionLimits()
 
@@ -124,11 +136,12 @@
 
 
 def _accept_pending(listener: trio.SocketListener) -> Iterator[trio.SocketStream]:
-    """Yield the connections that the system has taken and nobody has accepted.
+    """Yield the connections that wait in the kernel's accept queue.
 
-    Closing the listener resets them, though their callers have connected and sent
-    their requests; a burst leaves many. Nothing is awaited up to the close, so that
-    no more can come in between.
+    Closing the listener would reset them, although their callers have connected
+    and may have sent requests. After a burst of connections there are many. The
+    caller must not await anything between this call and the close of the
+    listener, so that other tasks can't delay the close while more arrive.
     """
     raw_socket = socket.socket(fileno=listener.socket.fileno())
     try:
@@ -141,13 +154,21 @@
 
 
 class Exchange:
-    """One request and its answer, as a handler sees them.
+    """One request and its response, as a handler sees them.
 
     Parameters
     ----------
     request : RequestHead
     caller : str
-        IP address of the other side.
+        IP address of the caller.
+
+    Attributes
+    ----------
+    started : bool
+        Whether the handler has begun the response.
+    caller_disconnected : bool
+        Whether the caller was seen to disconnect; set only within
+        `detect_caller_disconnect` and `cancel_on_caller_disconnect`.
     """
 
     def __init__(self, connection, request: RequestHead, caller: str):
@@ -159,7 +180,7 @@
         self._on_disconnect: Callable[[], None] = lambda: None
 
     async def body(self) -> AsyncIterator[bytes]:
-        """Yield the request's body, a piece at a time."""
+        """Yield the request's body in chunks."""
         while True:
             chunk = await self._connection.next_body_chunk()
             if chunk is None:
@@ -167,7 +188,13 @@
             yield chunk
 
     async def read_body(self, limit: int) -> bytes:
-        """Return the whole body, or raise `BadMessage` (413) above the limit."""
+        """Return the whole body.
+
+        Raises
+        ------
+        BadMessage
+            With status 413 if the body is longer than `limit` bytes.
+        """
         parts = []
         size = 0
         async for part in self.body():
@@ -178,7 +205,7 @@
         return b"".join(parts)
 
     async def reply(self, status: int, headers: Headers, body: bytes = b""):
-        """Send a whole answer."""
+        """Send a whole response."""
         length = (b"content-length", str(len(body)).encode())
         await self.start(status, [*headers, length])
         if body and self.request.method != "HEAD":
@@ -186,29 +213,34 @@
         await self.finish()
 
     async def start(self, status: int, headers: Headers):
-        """Begin an answer. Its head leaves with what follows, or by `flush`."""
+        """Begin a response.
+
+        The head is buffered. It is sent with the first chunk of the body, with
+        the end of the response, or by `flush`.
+        """
         self.started = True
         self._connection.buffer_response_head(status, headers)
 
     async def flush(self):
-        """Send what has not left yet; for answers whose body comes later."""
+        """Send all buffered bytes, for responses whose body follows later."""
         await self._connection.flush()
 
     async def send(self, chunk: bytes):
-        """Send a piece of the answer's body."""
+        """Send a chunk of the response body."""
         await self._connection.send_event(h11.Data(data=chunk))
 
     async def finish(self):
-        """End the answer."""
+        """End the response."""
         await self._connection.send_event(h11.EndOfMessage())
 
     @contextlib.asynccontextmanager
     async def cancel_on_caller_disconnect(self):
-        """Cancel the block when the caller closes its side meanwhile.
+        """Cancel the block if the caller closes its side of the connection.
 
-        Without it a request goes on at its target, holding a slot there, for
-        a caller who has long gone. Use it after the body has been read: what
-        arrives then is the end of the stream or the start of a next request.
+        Without it, a request keeps running at its target and occupies a slot
+        there, although the caller has disconnected. Use it only after the body
+        has been read: the next bytes are then either the end of the stream or
+        the start of another request.
         """
         async with self._run_disconnect_watcher() as nursery:
             self._on_disconnect = nursery.cancel_scope.cancel
@@ -216,7 +248,7 @@
 
     @contextlib.asynccontextmanager
     async def detect_caller_disconnect(self):
-        """Set `caller_disconnected` when the caller closes its side meanwhile."""
+        """Set `caller_disconnected` if the caller closes its side in the block."""
         async with self._run_disconnect_watcher():
             yield
 
@@ -251,8 +283,8 @@
         except (CallerDisconnected, *SOCKET_ERRORS):
             pass
         except Exception as error:
-            # A fault of this program must cost one connection, not the process
-            # and all that it is serving.
+            # A bug in a handler or in this module must end only this connection,
+            # not the process with all its other connections.
             self.report(error)
         finally:
             await trio.aclose_forcefully(self.stream)
@@ -267,8 +299,8 @@
             if request is None:
                 return
             await self._serve_one(Exchange(self, request, self.caller))
-            # Only an answer that said "close" ends a connection. Closed without
-            # it, a caller's next request, on its way already, would be cut.
+            # Close only after a response with "Connection: close". Otherwise the
+            # caller's next request may already be in transit and would be lost.
             if self.h11.our_state is not h11.DONE:
                 await self._linger()
                 return
@@ -289,7 +321,7 @@
         except Exception as error:
             self.report(error)
             if exchange.started:
-                raise CallerDisconnected("the answer cannot be completed") from error
+                raise CallerDisconnected("the response cannot be completed") from error
             await exchange.reply(502, [], b"internal error\n")
 
     async def _next_request(self) -> RequestHead | None:
@@ -309,13 +341,14 @@
         self.method = bytes(event.method)
         request = _validate_request(event)
         if not _declares_body(request):
-            # Nothing is to be read of it. Left unread, its end would make the
-            # connection close after an answer that never looked at the body.
+            # Consume the end of the empty body here. If a handler responds
+            # without reading the body, the unread end would otherwise make the
+            # connection close.
             self._parse()
         return request
 
     async def _wait_while_idle(self) -> bool:
-        """Wait for the first bytes of a request; False ends the connection."""
+        """Wait for the first bytes of a request; return False on a timeout."""
         timeout_s = STOP_GRACE_S if self.stopping.is_set else self.limits.idle_timeout_s
         with trio.move_on_after(timeout_s) as scope:
             self.stopping.idle_scopes.add(scope)
@@ -327,7 +360,7 @@
         return False
 
     async def next_body_chunk(self) -> bytes | None:
-        """Return the next piece of the body, None at its end."""
+        """Return the next chunk of the body, or None at its end."""
         if self.h11.they_are_waiting_for_100_continue:
             await self.send_event(
                 h11.InformationalResponse(status_code=100, headers=[])
@@ -344,18 +377,24 @@
             elif isinstance(event, h11.EndOfMessage) or event is h11.PAUSED:
                 return None
             else:
-                raise CallerDisconnected("the caller left in the middle of the body")
+                raise CallerDisconnected("the caller disconnected during the body")
         return None
 
     async def wait_for_disconnect(self) -> bool:
-        """Wait until the caller sends something; True if that is its end."""
+        """Wait until the caller sends data or disconnects.
+
+        Returns
+        -------
+        bool
+            Whether the caller disconnected.
+        """
         try:
             data = await self.stream.receive_some(READ_BYTES)
         except SOCKET_ERRORS:
             data = b""
         if data:
-            # The caller already sends its next request. It is kept for later;
-            # reading no more of it bounds what is buffered.
+            # The caller has pipelined its next request. Keep these bytes for the
+            # next exchange, and read no more now, to bound the buffer.
             self.h11.receive_data(data)
         return not data
 
@@ -404,10 +443,10 @@
         await self._linger()
 
     async def _linger(self):
-        """Read on a little after the last answer.
+        """Read and discard input for a short time before the connection closes.
 
-        Closing a socket with unread bytes makes the kernel reset it, and the
-        caller then loses the answer that was just sent.
+        Closing a socket with unread bytes makes the kernel send a reset, and the
+        caller may then lose the response that was just sent.
         """
         with contextlib.suppress(trio.ClosedResourceError):
             await self.stream.send_eof()
@@ -424,8 +463,9 @@
     headers = [(bytes(name), bytes(value)) for name, value in event.headers]
     names = [name for name, _ in headers]
     if b"transfer-encoding" in names and b"content-length" in names:
-        # Two servers that pick different ones of the two disagree on where
-        # the request ends; the rest would pass as another caller's request.
+        # Guard against request smuggling: two servers that use different headers
+        # disagree on where the request ends, and the rest of its body would be
+        # read as another caller's request.
         raise BadMessage(400, "a request has Transfer-Encoding or Content-Length")
     if names.count(b"host") > 1:
         raise BadMessage(400, "a request has one Host header")
