--- a/packages/standins/plantainshed_standins/__init__.py
+++ b/packages/standins/plantainshed_standins/__init__.py
@@ -1,6 +1,7 @@
-"""Small stand-ins for what surrounds the system.
+"""Stand-ins for the systems around plantainshed, for tests and demos.
 
-`memory_platform` is the object store and VM list in memory, with outages, slow
-calls and lost answers on demand; `platform_server` offers it over HTTP;
-`target_server` is a back end that counts what it ran.
+`memory_platform` is an in-memory object store and VM list that can simulate
+outages, slow calls and lost responses. `platform_server` serves it over HTTP.
+`memory_network` is an in-memory datagram network with simulated faults.
+`target_server` is a target that counts the requests it executes.
 """
--- a/packages/standins/plantainshed_standins/memory_network.py
+++ b/packages/standins/plantainshed_standins/memory_network.py
@@ -1,6 +1,7 @@
-"""A network in memory that can lose, delay, repeat, reorder and cut.
+"""An in-memory datagram network that can lose, delay, duplicate and reorder.
 
-With `run_deterministically` a run on the mock clock goes the same way each time.
+It can also be partitioned. With `run_deterministically`, every run with the same
+seed on the mock clock takes the same course.
 """
 
 import math
@@ -18,16 +19,16 @@
 
 @define
 class NetworkFaults:
-    """What is wrong with the network at present.
+    """The faults that the network currently simulates.
 
     Parameters
     ----------
     loss, repeat : float
-        Probability that a datagram is lost, or arrives twice.
+        Probability that a datagram is lost, or sent twice.
     jitter_s : float
-        Up to so much is added to each delay, which reorders datagrams.
+        Upper bound of a random addition to each delay, which reorders datagrams.
     is_cut : callable
-        Whether nothing passes from one address to another.
+        Whether the path from one address to another is cut.
     """
 
     loss: float = 0.0
@@ -37,10 +38,10 @@
 
 
 def run_deterministically(function, *arguments, seed: int = 1):
-    """Run an async function on a clock that jumps, the same way each time.
+    """Run an async function on an autojumping mock clock, reproducibly.
 
-    trio shuffles tasks that become ready together, so that nobody relies on
-    their order; with its hook for tests the shuffle follows a seed.
+    trio shuffles tasks that become ready together, so that programs can't rely on
+    their order. Its hook for tests makes the shuffle depend on the seed only.
     """
     scheduler = trio._core._run
     scheduler._ALLOW_DETERMINISTIC_SCHEDULING = True
@@ -51,13 +52,20 @@
 
 
 class MemoryNetwork:
-    """Joins `MemoryTransport` ends; the same seed gives the same faults.
+    """Connects `MemoryTransport` objects.
 
     Parameters
     ----------
     seed : int
+        Seed of the random faults; the same seed gives the same faults.
     delay : callable
-        One-way delay in seconds between two addresses.
+        Returns the one-way delay in seconds between two addresses.
+
+    Attributes
+    ----------
+    faults : NetworkFaults
+    transports : dict of str to MemoryTransport
+        The transport that currently receives the datagrams of each address.
     """
 
     def __init__(
@@ -71,25 +79,35 @@
         self.transports: dict[str, MemoryTransport] = {}
 
     def open(self, address: str) -> "MemoryTransport":
-        """Return the end for an address; an earlier one gets nothing more."""
+        """Return a new transport for an address.
+
+        An earlier transport with this address receives no more datagrams.
+        """
         transport = MemoryTransport(self, address)
         self.transports[address] = transport
         return transport
 
     def passes(self, sender: str, receiver: str) -> bool:
-        """Tell whether a datagram gets through."""
+        """Decide whether a datagram is delivered; random losses use the seed."""
         if self.faults.is_cut(sender, receiver):
             return False
         return self.random.random() >= self.faults.loss
 
     def delay_between(self, sender: str, receiver: str) -> float:
-        """Return how long a datagram takes this time."""
+        """Return the delay of one datagram, with random jitter."""
         jitter = self.random.random() * self.faults.jitter_s
         return self.delay(sender, receiver) + jitter
 
 
 class MemoryTransport:
-    """One VM's end of a `MemoryNetwork`."""
+    """Transport of one VM in a `MemoryNetwork`.
+
+    Attributes
+    ----------
+    sent_bytes, sent_messages, received_bytes : int
+    get_value : callable
+        Returns the value of a name for `fetch` calls by others, or None.
+    """
 
     def __init__(self, network: MemoryNetwork, address: str):
         self.network = network
@@ -111,16 +129,16 @@
                 trio.lowlevel.spawn_system_task(self._deliver, address, data)
 
     async def receive(self) -> bytes:
-        """Return the next datagram."""
+        """Wait for the next datagram and return it."""
         return await self._inbox_receive.receive()
 
     async def fetch(self, address: str, name: str) -> bytes:
-        """Fetch a value from another end, as a bulk exchange would."""
+        """Fetch a value by name from another address; simulates a bulk transfer."""
         one_way_s = self.network.delay_between(self.address, address)
         receiver = self.network.transports.get(address)
         if receiver is None or self.network.faults.is_cut(self.address, address):
             await trio.sleep(1.0)
-            raise PeerTimeout(f"{address}: not reachable")
+            raise PeerTimeout(f"{address}: unreachable")
         await trio.sleep(2 * one_way_s)
         value = receiver.get_value(name)
         if value is None:
--- a/packages/standins/plantainshed_standins/memory_platform.py
+++ b/packages/standins/plantainshed_standins/memory_platform.py
@@ -1,4 +1,4 @@
-"""The platform in memory, able to fail the ways that the real one does."""
+"""An in-memory platform that simulates the failures of the real one."""
 
 from collections import Counter
 
@@ -21,16 +21,17 @@
 
 @define
 class PlatformFaults:
-    """What is wrong with the platform at present.
+    """The faults that the platform currently simulates.
 
     Parameters
     ----------
     down : bool
-        Every call fails and changes nothing.
+        Whether every call fails without any effect.
     delay_s : float
-        Time that each call takes.
+        Delay of each call.
     lose_answers : int
-        So many of the next writes take effect and then lose their answer.
+        Number of upcoming writes that take effect but raise `OutcomeUnknown`,
+        as if the response were lost.
     """
 
     down: bool = False
@@ -39,15 +40,17 @@
 
 
 class MemoryPlatform:
-    """An object store and a VM list that live in memory.
+    """The `Platform` protocol with an object store and a VM list in memory.
 
     Attributes
     ----------
+    objects : dict of (str, str) to StoredObject
+        Stored objects by kind and name.
+    vms : dict of str to ListedVm
+        The VM list that `list_vms` returns, by name.
     faults : PlatformFaults
     calls : collections.Counter
-        Calls by name.
-    vms : dict of str to ListedVm
-        The list as `list_vms` gives it.
+        Number of calls by operation.
     """
 
     def __init__(self):
@@ -66,7 +69,7 @@
     async def put(
         self, kind: str, name: str, value: bytes, expected_version: int
     ) -> int:
-        """Write an object on the condition of its version."""
+        """Write an object if it has the expected version; return its new version."""
         await self._begin_call("put")
         if len(value) > MAX_VALUE_BYTES:
             raise PlatformUnavailable(f"{kind}/{name}: value of {len(value)} bytes")
@@ -80,7 +83,7 @@
             self._changed.notify_all()
         if self.faults.lose_answers:
             self.faults.lose_answers -= 1
-            raise OutcomeUnknown(f"PUT {kind}/{name}: the answer was lost")
+            raise OutcomeUnknown(f"PUT {kind}/{name}: the response was lost")
         return version
 
     async def list_objects(self, kind: str) -> list[StoredObject]:
@@ -91,7 +94,7 @@
     async def wait_for_change(
         self, kind: str, name: str, known_version: int
     ) -> StoredObject:
-        """Return the object as soon as its version is not the known one."""
+        """Wait until the object's version differs from the known one; return it."""
         await self._begin_call("watch")
         while True:
             stored = self.objects.get((kind, name))
@@ -103,12 +106,12 @@
                 raise PlatformUnavailable("the platform is down")
 
     async def list_vms(self) -> list[ListedVm]:
-        """Return the list of VMs."""
+        """Return the VM list."""
         await self._begin_call("vms")
         return list(self.vms.values())
 
     async def set_down(self, down: bool):
-        """Begin or end an outage; waiting watches break at its start."""
+        """Begin or end an outage; its start makes all waiting watches fail."""
         self.faults.down = down
         async with self._changed:
             self._changed.notify_all()
--- a/packages/standins/plantainshed_standins/platform_server.py
+++ b/packages/standins/plantainshed_standins/platform_server.py
@@ -1,4 +1,4 @@
-"""The in-memory platform behind the HTTP API that `platform_client` speaks."""
+"""HTTP server for the in-memory platform; `platform_client` is its client."""
 
 import base64
 import json
@@ -21,17 +21,17 @@
 
 
 class PlatformServer:
-    """Answers the object API from a `MemoryPlatform`."""
+    """Serves the platform's HTTP API from a `MemoryPlatform`."""
 
     def __init__(self, platform: MemoryPlatform):
         self.platform = platform
 
     async def serve(self, listeners, stopping: Stopping):
-        """Serve until stopped."""
+        """Serve until `stopping` is set and all exchanges have ended."""
         await serve_http(self.handle, listeners, stopping)
 
     async def handle(self, exchange: Exchange):
-        """Answer one call."""
+        """Respond to one API request."""
         url = urlsplit(exchange.request.target)
         parts = url.path.strip("/").split("/")
         try:
@@ -52,7 +52,8 @@
         except PlatformUnavailable as error:
             await exchange.reply(503, [], str(error).encode())
         except OutcomeUnknown:
-            # The write took effect; the caller sees a connection that breaks.
+            # The write took effect. Break the connection, so that the client gets no
+            # response.
             raise trio.BrokenResourceError from None
 
     async def _list_vms(self, exchange):
--- a/packages/standins/plantainshed_standins/target_server.py
+++ b/packages/standins/plantainshed_standins/target_server.py
@@ -1,4 +1,7 @@
-"""A back end that serves a little, counts what it ran, and drains politely."""
+"""A simple target for tests and demos.
+
+It counts the requests that it executes, and shuts down gracefully.
+"""
 
 import json
 from collections import Counter
@@ -11,22 +14,29 @@
 
 
 class TargetServer:
-    """A target over HTTP.
+    """An HTTP target with a fixed service time and a concurrency limit.
 
     Parameters
     ----------
     name : str
     slots : int
-        Requests that it runs at a time; more are shed with 503.
+        Maximum number of concurrent requests. Further requests are rejected with
+        503 and a header that says they were not run.
     service_time_s : float
+        Time that each request takes.
 
     Attributes
     ----------
     runs : collections.Counter
-        How often each ``Operation-Id`` (or path) was run.
+        Number of executions of each ``Operation-Id``, or path if there is none.
     keys_seen : int
-        Requests that arrived with a caller's key; must stay 0.
+        Number of requests that contained a caller's key; must stay 0.
     running, most_running : int
+        Current and highest number of concurrent requests.
+    shed : int
+        Number of requests rejected because all slots were in use.
+    healthy : bool
+        Whether health checks succeed.
     """
 
     def __init__(self, name: str, slots: int, service_time_s: float = 0.02):
@@ -41,11 +51,11 @@
         self.healthy = True
 
     async def serve(self, listeners, stopping: Stopping):
-        """Serve until stopped."""
+        """Serve until `stopping` is set and all exchanges have ended."""
         await serve_http(self.handle, listeners, stopping)
 
     async def handle(self, exchange: Exchange):
-        """Answer a health check, or run a request."""
+        """Respond to a health check, or execute a request."""
         if exchange.request.target == "/healthz":
             await self._report_health(exchange)
             return
