--- a/tests/http/test_client.py
+++ b/tests/http/test_client.py
@@ -1,4 +1,4 @@
-"""Requests that the client is asked to send and cannot."""
+"""Tests that the client rejects invalid requests without sending them."""
 
 import unittest
 
@@ -17,7 +17,7 @@
 
 class TestUnsendableRequests(unittest.TestCase):
     @on_real_clock
-    async def test_typed_error_and_nothing_sent(self):
+    async def test_raises_and_sends_nothing(self):
         seen = []
 
         async def handle(exchange):
@@ -25,8 +25,8 @@
             await exchange.reply(200, [], b"whole")
 
         async with serving(handle) as (address, _), connected(address, 2) as client:
-            for what, target, headers in UNSENDABLE:
-                with self.subTest(what):
+            for problem, target, headers in UNSENDABLE:
+                with self.subTest(problem):
                     with self.assertRaises(UnsendableRequest) as caught:
                         await client.send_head("GET", target, headers)
                     self.assertEqual(caught.exception.status, 400)
--- a/tests/http/test_platform_client.py
+++ b/tests/http/test_platform_client.py
@@ -1,4 +1,4 @@
-"""The platform's API, client against stand-in."""
+"""Tests of the platform client against the stand-in platform server."""
 
 import unittest
 
@@ -44,7 +44,7 @@
             self.assertEqual(stored.value, b"two")
 
     @on_real_clock
-    async def test_lost_answer_is_not_taken_for_a_failure(self):
+    async def test_lost_response_to_a_write_means_unknown_outcome(self):
         memory = MemoryPlatform()
         async with serving(PlatformServer(memory).handle) as (address, _):
             platform = HttpPlatform(address)
@@ -54,7 +54,7 @@
             self.assertEqual((await platform.get("k", "n")).value, b"one")
 
     @on_real_clock
-    async def test_outage_and_list(self):
+    async def test_vm_list_and_outage(self):
         memory = MemoryPlatform()
         memory.vms["a-1"] = ListedVm("a-1", leaving=True)
         async with serving(PlatformServer(memory).handle) as (address, _):
--- a/tests/http/test_server.py
+++ b/tests/http/test_server.py
@@ -1,4 +1,4 @@
-"""The HTTP server, on real sockets."""
+"""Tests of the HTTP server and of client connections, on real sockets."""
 
 import unittest
 
@@ -23,27 +23,28 @@
                 self.assertEqual(body, f"/{number} ".encode())
 
     @on_real_clock
-    async def test_answer_without_a_look_at_the_body_keeps_the_connection(self):
-        """Each look-up costs a new connection.
+    async def test_response_without_reading_the_body_keeps_the_connection(self):
+        """Guards against a new connection for each lookup.
 
-        The handler answers a GET without reading its body, which is empty,
-        and the server closed the connection because its end was not read.
+        If a handler responds to a GET without reading its empty body, the server
+        must not close the connection because the end of the body is unread.
         """
 
-        async def at_once(exchange):
+        async def respond(exchange):
             await exchange.reply(200, [], b"ok")
 
-        async with serving(at_once) as (address, _), connected(address, 2) as c:
+        async with serving(respond) as (address, _), connected(address, 2) as c:
             for _ in range(3):
                 head, _ = await c.request("GET", "/")
                 self.assertIsNone(head.header(b"connection"))
 
     @on_real_clock
-    async def test_refuses_what_can_be_read_two_ways(self):
-        """One caller's request is taken for the end of another's.
+    async def test_rejects_ambiguous_requests(self):
+        """Guards against request smuggling.
 
-        A request names both a length and chunks; two servers on its way pick
-        different ones, and the rest of its body is read as the next request.
+        If a request has both Content-Length and chunked encoding, two servers on
+        its path may disagree on where it ends. The rest of its body is then read
+        as another caller's request.
         """
         forms = (
             b"Content-Length: 3\r\nTransfer-Encoding: chunked\r\n",
@@ -61,21 +62,21 @@
                     self.assertEqual(answer.count(b"HTTP/1.1"), 1)
 
     @on_real_clock
-    async def test_refuses_an_endless_head(self):
+    async def test_rejects_an_oversized_head(self):
         async with serving(echo) as (address, _):
             head = b"GET / HTTP/1.1\r\nHost: a\r\nX: " + b"x" * 100_000
             answer = await raw_exchange(address, head)
             self.assertTrue(answer.startswith(b"HTTP/1.1 431"))
 
     @on_real_clock
-    async def test_refuses_a_body_above_the_limit(self):
+    async def test_rejects_a_body_above_the_limit(self):
         async with serving(echo) as (address, _):
             head = b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 2000\r\n\r\n"
             answer = await raw_exchange(address, head + b"x" * 2000)
             self.assertTrue(answer.startswith(b"HTTP/1.1 413"))
 
     @on_real_clock
-    async def test_idle_connection_is_closed_on_a_planned_stop(self):
+    async def test_idle_connection_is_closed_on_shutdown(self):
         async with serving(echo) as (address, stopping):
             connection = await ClientConnection.open(address, 2)
             await connection.request("GET", "/")
@@ -84,20 +85,21 @@
             await connection.aclose()
 
     @on_real_clock
-    async def test_stop_just_after_an_answer_does_not_cut_the_next_request(self):
-        """Now and then a request is cut when a VM is replaced.
+    async def test_shutdown_after_a_response_does_not_lose_the_next_request(self):
+        """Guards against a request that fails occasionally when a VM is replaced.
 
-        An answer leaves without "close", the stop begins, and the connection
-        is closed while the caller's next request is on its way.
+        The server sends a response without "Connection: close", then begins to
+        shut down. It must not close the connection while the caller's next
+        request is in transit.
         """
-        stopping_now = []
+        shutdowns = []
 
-        async def stop_afterwards(exchange):
+        async def respond_then_stop(exchange):
             await exchange.reply(200, [], b"ok")
-            stopping_now[0].set()
+            shutdowns[0].set()
 
-        async with serving(stop_afterwards) as (address, stopping):
-            stopping_now.append(stopping)
+        async with serving(respond_then_stop) as (address, stopping):
+            shutdowns.append(stopping)
             async with connected(address, 2) as connection:
                 first, _ = await connection.request("GET", "/")
                 self.assertIsNone(first.header(b"connection"))
@@ -105,7 +107,7 @@
                 self.assertEqual(last.header(b"connection"), "close")
 
     @on_real_clock
-    async def test_exchange_under_way_ends_on_a_planned_stop(self):
+    async def test_running_exchange_completes_on_shutdown(self):
         began, may_end = trio.Event(), trio.Event()
 
         async def slow(exchange):
@@ -130,7 +132,7 @@
             self.assertEqual(head.header(b"connection"), "close")
 
     @on_real_clock
-    async def test_work_stops_when_the_caller_leaves(self):
+    async def test_handler_is_cancelled_when_the_caller_disconnects(self):
         stopped = trio.Event()
 
         async def endless(exchange):
@@ -160,11 +162,11 @@
 
 class TestClientConnection(unittest.TestCase):
     @on_real_clock
-    async def test_sees_that_an_idle_connection_was_closed(self):
-        """A booking fails with "outcome unknown" although nothing ran.
+    async def test_idle_connection_closed_by_the_server_is_stale(self):
+        """Guards against a booking that fails with "outcome unknown" but never ran.
 
-        The target closes an idle connection; the next request is written to
-        it, and nobody can tell whether it was read.
+        If the target closes an idle connection and the client sends the next
+        request on it, the client can't know whether the target read the request.
         """
         async with serving(echo) as (address, stopping):
             connection = await ClientConnection.open(address, 2)
@@ -176,20 +178,20 @@
             await connection.aclose()
 
     @on_real_clock
-    async def test_bytes_nobody_asked_for_make_it_stale(self):
-        """A caller gets the late answer to another caller's request."""
+    async def test_unsolicited_bytes_make_it_stale(self):
+        """Guards against a late response that reaches another caller."""
 
-        async def late(stream):
+        async def respond_twice(stream):
             await stream.receive_some(1000)
-            answer = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
-            await stream.send_all(answer)
-            await stream.send_all(answer)
+            response = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+            await stream.send_all(response)
+            await stream.send_all(response)
             await trio.sleep_forever()
 
         listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
         port = listeners[0].socket.getsockname()[1]
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(trio.serve_listeners, late, listeners)
+            nursery.start_soon(trio.serve_listeners, respond_twice, listeners)
             connection = await ClientConnection.open(f"127.0.0.1:{port}", 2)
             await connection.request("GET", "/")
             await trio.sleep(0.2)
--- a/tests/http_support.py
+++ b/tests/http_support.py
@@ -1,4 +1,4 @@
-"""Helpers for tests on real sockets."""
+"""Helpers for HTTP tests on real sockets."""
 
 import contextlib
 
@@ -9,7 +9,7 @@
 
 @contextlib.asynccontextmanager
 async def serving(handler):
-    """Serve a handler on loopback; yields its address and its `Stopping`."""
+    """Serve a handler on the loopback interface; yield address and `Stopping`."""
     listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
     port = listeners[0].socket.getsockname()[1]
     stopping = Stopping()
@@ -20,7 +20,7 @@
 
 
 async def raw_exchange(address: str, data: bytes) -> bytes:
-    """Send bytes and return all that comes back until the other side closes."""
+    """Send bytes and return all bytes received until the peer closes, or 5 s."""
     host, _, port = address.rpartition(":")
     stream = await trio.open_tcp_stream(host, int(port))
     async with stream:
--- a/tests/support.py
+++ b/tests/support.py
@@ -1,4 +1,4 @@
-"""Shared helpers: running on the pausable clock, small fleets of parts."""
+"""Shared test helpers: decorators for async tests, and small in-memory fleets."""
 
 import contextlib
 import functools
@@ -27,7 +27,7 @@
 
 
 def on_mock_clock(function):
-    """Run an async test on a clock that jumps whenever everybody waits."""
+    """Run an async test on a mock clock that jumps whenever all tasks wait."""
 
     @functools.wraps(function)
     def run(self):
@@ -41,7 +41,7 @@
 
 
 def on_real_clock(function):
-    """Run an async test that uses real sockets; nothing asserts durations."""
+    """Run an async test that uses real sockets; such tests assert no durations."""
 
     @functools.wraps(function)
     def run(self):
@@ -55,7 +55,7 @@
 
 
 class MemoryVm:
-    """The coordination parts of one VM, without the entry daemon."""
+    """The coordination components of one VM, without the entry daemon."""
 
     def __init__(self, fleet: "MemoryFleet", vm: str, incarnation: int):
         domain = fleet.domains[vm]
@@ -98,7 +98,7 @@
     async def run(self):
         with self.scope:
             async with trio.open_nursery() as nursery:
-                for part in (
+                for component in (
                     self.network,
                     self.membership,
                     self.rumors,
@@ -106,7 +106,7 @@
                     self.operations,
                     self.reporter,
                 ):
-                    nursery.start_soon(part.run)
+                    nursery.start_soon(component.run)
                 for shard, rebalancer in self.rebalancers.items():
                     nursery.start_soon(rebalancer.run, self._candidates(shard))
 
@@ -117,12 +117,12 @@
 
     @property
     def part(self):
-        """The first budget's part."""
+        """This VM's part of the first budget."""
         return next(iter(self.holdings.parts.values()))
 
 
 class MemoryFleet:
-    """A few `MemoryVm` on one network in memory."""
+    """A few `MemoryVm` objects on one in-memory network."""
 
     def __init__(self, domains, specs=(WORKSPACE,), seed=1, platform_of=None):
         self.domains = dict(domains)
@@ -146,7 +146,7 @@
         self.network.transports.pop(vm, None)
 
     def cut(self, *groups):
-        """Let datagrams pass inside each group of VMs only."""
+        """Partition the network: deliver datagrams only within each group of VMs."""
         group_of = {vm: index for index, group in enumerate(groups) for vm in group}
 
         def is_cut(sender, receiver):
--- a/tests/test_http_stop_backlog.py
+++ b/tests/test_http_stop_backlog.py
@@ -1,4 +1,4 @@
-"""Callers whose connections the system has taken when a server stops."""
+"""Tests that a server that stops serves the connections in its accept queue."""
 
 import socket
 import unittest
@@ -12,13 +12,14 @@
 REQUEST = b"GET / HTTP/1.1\r\nhost: x\r\n\r\n"
 
 
-class TestStopWithABacklog(unittest.TestCase):
+class TestStopWithBacklog(unittest.TestCase):
     @on_real_clock
-    async def test_connections_taken_by_the_system_are_answered(self):
-        """Callers come in a burst just before a VM takes no more.
+    async def test_connections_in_the_accept_queue_get_responses(self):
+        """Guards against reset connections after a burst just before a shutdown.
 
-        The system has accepted their connections and requests; the server took
-        one in each pass, and closed its socket with the others waiting.
+        The kernel has accepted the connections and received their requests. A
+        server that accepts one connection per pass of the scheduler and then
+        closes its socket resets the others.
         """
 
         async def handle(exchange):
@@ -32,7 +33,8 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(serve_http, handle, listeners, stopping)
             await trio.sleep(0.05)
-            # All in one pass of the scheduler, as after a busy moment.
+            # Connect all callers in one pass of the scheduler, as happens when the
+            # event loop was busy.
             callers = [socket.create_connection(address) for _ in range(COUNT)]
             for caller in callers:
                 caller.sendall(REQUEST)
