--- a/packages/http/plantainshed_http/platform_client.py
+++ b/packages/http/plantainshed_http/platform_client.py
@@ -10,8 +10,9 @@
 GET      ``/vms``                        the list of VMs
 ======== =============================== =========================================
 
-Error statuses: 412 if the condition of a write fails, 404 if the object does not
-exist, 503 during an outage.
+``&wait=S`` limits a wait to S seconds; the status is 304 if nothing has changed
+until then. Error statuses: 412 if the condition of a write fails, 404 if the
+object does not exist, 503 during an outage.
 """
 
 import base64
--- a/packages/http/plantainshed_http/server.py
+++ b/packages/http/plantainshed_http/server.py
@@ -43,7 +43,7 @@
     Parameters
     ----------
     head_timeout_s : float
-        Longest time in which the head of a request must arrive completely.
+        Longest time between the first and the last byte of a request head.
     idle_timeout_s : float
         Longest pause between two exchanges, and between two chunks of a body.
     """
@@ -248,7 +248,10 @@
 
     @contextlib.asynccontextmanager
     async def detect_caller_disconnect(self):
-        """Set `caller_disconnected` if the caller closes its side in the block."""
+        """Set `caller_disconnected` if the caller closes its side in the block.
+
+        Unlike `cancel_on_caller_disconnect`, this does not cancel the block.
+        """
         async with self._run_disconnect_watcher():
             yield
 
--- a/packages/standins/plantainshed_standins/memory_network.py
+++ b/packages/standins/plantainshed_standins/memory_network.py
@@ -135,15 +135,15 @@
     async def fetch(self, address: str, name: str) -> bytes:
         """Fetch a value by name from another address; simulates a bulk transfer."""
         one_way_s = self.network.delay_between(self.address, address)
-        receiver = self.network.transports.get(address)
-        if receiver is None or self.network.faults.is_cut(self.address, address):
+        peer = self.network.transports.get(address)
+        if peer is None or self.network.faults.is_cut(self.address, address):
             await trio.sleep(1.0)
             raise PeerTimeout(f"{address}: unreachable")
         await trio.sleep(2 * one_way_s)
-        value = receiver.get_value(name)
+        value = peer.get_value(name)
         if value is None:
             raise PeerTimeout(f"{address}: has no {name}")
-        receiver.sent_bytes += len(value)
+        peer.sent_bytes += len(value)
         return value
 
     async def _deliver(self, address, data):
