--- a/packages/entry/plantainshed_entry/relay.py
+++ b/packages/entry/plantainshed_entry/relay.py
@@ -23,7 +23,7 @@
     Headers,
     RequestHead,
     ResponseHead,
-    end_to_end,
+    end_to_end_headers,
 )
 
 from .call import Call
@@ -138,8 +138,8 @@
         except ConnectionBroken as error:
             raise AttemptFailed(
                 f"target {state.target.name} broke off: {error}",
-                Outcome.UNKNOWN if connection.touched else Outcome.NOT_RUN,
-                crashed=connection.touched,
+                Outcome.UNKNOWN if connection.send_started else Outcome.NOT_RUN,
+                crashed=connection.send_started,
             ) from error
 
     async def _send_whole_body(self, call, connection):
@@ -171,7 +171,7 @@
             )
         exchange = call.exchange
         await exchange.start(head.status, _headers_for_caller(call, head.headers))
-        if not connection.has_more_at_hand:
+        if not connection.has_buffered_data:
             # The body may come much later; its head is not held back for it.
             await exchange.flush()
         async for chunk in connection.response_body():
@@ -199,7 +199,7 @@
 def _headers_for_target(call: Call, request: RequestHead) -> Headers:
     headers = [
         (name, value)
-        for name, value in end_to_end(request.headers)
+        for name, value in end_to_end_headers(request.headers)
         if name not in NOT_FOR_TARGETS
     ]
     length = request.header(b"content-length")
@@ -220,7 +220,7 @@
 def _headers_for_caller(call: Call, headers: Headers) -> Headers:
     kept = [
         (name, value)
-        for name, value in end_to_end(headers)
+        for name, value in end_to_end_headers(headers)
         if name not in (LOAD_HEADER, DRAINING_HEADER)
     ]
     if not any(name == b"content-length" for name, _ in kept):
--- a/packages/gateway/plantainshed_gateway/answers.py
+++ b/packages/gateway/plantainshed_gateway/answers.py
@@ -6,7 +6,7 @@
 import trio
 
 from plantainshed_http.errors import ConnectionBroken
-from plantainshed_http.messages import Headers, end_to_end
+from plantainshed_http.messages import Headers, end_to_end_headers
 from plantainshed_http.server import Exchange
 
 from .errors import Refusal
@@ -21,7 +21,7 @@
 
     Hop-by-hop headers are removed.
     """
-    headers = end_to_end(answer.head.headers)
+    headers = end_to_end_headers(answer.head.headers)
     if answer.remaining is not None:
         await _stream(exchange, answer, headers)
     elif exchange.request.method == "HEAD" or answer.head.status in NO_BODY_STATUS:
--- a/packages/gateway/plantainshed_gateway/connections.py
+++ b/packages/gateway/plantainshed_gateway/connections.py
@@ -94,7 +94,7 @@
             idle_s = trio.current_time() - kept.idle_since
             max_idle_s = self._max_idle_s(state, kept, fraction)
             if idle_s < max_idle_s and not kept.connection.stale:
-                kept.connection.rested_s = idle_s
+                kept.connection.idle_s = idle_s
                 return kept.connection
             _close_socket(kept.connection)
         return None
--- a/packages/gateway/plantainshed_gateway/daemon.py
+++ b/packages/gateway/plantainshed_gateway/daemon.py
@@ -146,7 +146,7 @@
         """Redirect callers to other VMs and drain requests within the stop time."""
         within_s = self.settings.bounds.stop_within_s
         began_at = trio.current_time()
-        self.stopping.is_announced = True
+        self.stopping.sends_connection_close = True
         await self.gateway.announce_leaving()
         accept_until = began_at + accept_period_s(within_s)
         self.gateway.serving.accepts_until = accept_until + STOP_GRACE_S
--- a/packages/gateway/plantainshed_gateway/forwarding.py
+++ b/packages/gateway/plantainshed_gateway/forwarding.py
@@ -66,7 +66,7 @@
             yield answer
         except ConnectionBroken as error:
             after_s = trio.current_time() - sent_at
-            self.connections.note_broken(state, connection.rested_s, after_s)
+            self.connections.note_broken(state, connection.idle_s, after_s)
             raise _connection_failure(connection, str(error)) from error
         except AttemptFailed as failure:
             if failure.reason is not Reason.TARGET_BUSY:
@@ -75,7 +75,7 @@
         except BaseException:
             await connection.aclose()
             raise
-        if connection.has_more_at_hand:
+        if connection.has_buffered_data:
             # Unexpected bytes after the end of the answer would be parsed as the
             # start of the answer to the next request.
             await connection.aclose()
@@ -105,7 +105,7 @@
         if call.body:
             # Head and body go out in one write, so that the target gets either the
             # whole request or nothing.
-            connection.add_body(call.body)
+            connection.buffer_body(call.body)
         await connection.end_request()
 
     async def _read_answer(
@@ -195,4 +195,4 @@
 def _connection_failure(connection: ClientConnection, problem: str) -> AttemptFailed:
     with contextlib.suppress(OSError):
         connection.stream.socket.close()
-    return AttemptFailed(Reason.CONNECTION_BROKEN, problem, connection.touched)
+    return AttemptFailed(Reason.CONNECTION_BROKEN, problem, connection.send_started)
--- a/packages/gateway/plantainshed_gateway/serving.py
+++ b/packages/gateway/plantainshed_gateway/serving.py
@@ -163,10 +163,10 @@
             if not call.route.is_idempotent:
                 # The run continues even if the caller disconnects. If it were
                 # cancelled, it would be unknown whether it had taken effect.
-                async with exchange.noticing_when_caller_leaves():
+                async with exchange.detect_caller_disconnect():
                     await self._attempt_until_answered(exchange, call)
                 return
-            async with exchange.cancelled_when_caller_leaves() as caller:
+            async with exchange.cancel_on_caller_disconnect() as caller:
                 await self._attempt_until_answered(exchange, call)
                 return
         if scope.cancelled_caught:
@@ -189,7 +189,7 @@
             failure = await self._attempt(exchange, call, state)
             if failure is None:
                 return
-            if exchange.caller_has_left:
+            if exchange.caller_disconnected:
                 # Nobody would receive another target's answer.
                 self._log(call, HTTPStatus.BAD_GATEWAY, Reason.CALLER_LEFT)
                 return
--- a/packages/http/plantainshed_http/platform_client.py
+++ b/packages/http/plantainshed_http/platform_client.py
@@ -1,4 +1,4 @@
-"""The platform's object store and VM list over HTTP.
+"""Client for the HTTP API of the platform: the object store and the VM list.
 
 ======== =============================== =========================================
 method   path                            meaning
@@ -10,7 +10,9 @@
 GET      ``/vms``                        the list of VMs
 ======== =============================== =========================================
 
-A conditional write that loses answers 412, a missing object 404, an outage 503.
+``&wait=S`` limits a wait to S seconds; the status is 304 if nothing has changed
+until then. Error statuses: 412 if the condition of a write fails, 404 if the
+object does not exist, 503 during an outage.
 """
 
 import base64
@@ -32,13 +34,13 @@
 CALL_TIMEOUT_S = 5.0
 WATCH_TIMEOUT_S = 60.0
 WATCH_MARGIN_S = 5.0
-STATUS_MISSING = 404
-STATUS_NO_CHANGE = 304
-STATUS_CONFLICT = 412
+STATUS_NOT_FOUND = 404
+STATUS_NOT_MODIFIED = 304
+STATUS_PRECONDITION_FAILED = 412
 
 
 class HttpPlatform:
-    """The platform as its HTTP API offers it.
+    """The `Platform` protocol, implemented with requests to the HTTP API.
 
     Parameters
     ----------
@@ -52,12 +54,12 @@
     async def get(self, kind: str, name: str) -> StoredObject:
         """Return an object, or raise `ObjectMissing`."""
         head, body = await self._read(f"/objects/{kind}/{name}", CALL_TIMEOUT_S)
-        return _stored(kind, name, head, body)
+        return _make_object(kind, name, head, body)
 
     async def put(
         self, kind: str, name: str, value: bytes, expected_version: int
     ) -> int:
-        """Write an object if it has the expected version; return the new one."""
+        """Write an object if it has the expected version; return its new version."""
         if expected_version == ABSENT:
             condition = (b"if-none-match", b"*")
         else:
@@ -70,12 +72,13 @@
         except ConnectFailed as error:
             raise PlatformUnavailable(str(error)) from error
         except HttpError as error:
-            # The bytes may have arrived: only the answer is known to be lost.
+            # The request may have reached the platform; only the response is known
+            # to be lost.
             raise OutcomeUnknown(f"PUT {path}: {error}") from error
-        if head.status == STATUS_CONFLICT:
-            raise VersionConflict(f"{kind}/{name} is not at {expected_version}")
+        if head.status == STATUS_PRECONDITION_FAILED:
+            raise VersionConflict(f"{kind}/{name} is not at version {expected_version}")
         _require_success(head, path, body)
-        return _version(head)
+        return _parse_version(head)
 
     async def list_objects(self, kind: str) -> list[StoredObject]:
         """Return all objects of a kind."""
@@ -90,16 +93,16 @@
     async def wait_for_change(
         self, kind: str, name: str, known_version: int
     ) -> StoredObject:
-        """Return the object as soon as its version is not the known one."""
+        """Wait until the object's version differs from the known one; return it."""
         path = f"/objects/{kind}/{name}?not={known_version}&wait={WATCH_TIMEOUT_S:g}"
         while True:
             head, body = await self._read(path, WATCH_TIMEOUT_S + WATCH_MARGIN_S)
-            if head.status != STATUS_NO_CHANGE:
-                return _stored(kind, name, head, body)
+            if head.status != STATUS_NOT_MODIFIED:
+                return _make_object(kind, name, head, body)
             await trio.lowlevel.checkpoint()
 
     async def list_vms(self) -> list[ListedVm]:
-        """Return the live and leaving VMs as the platform last knew them."""
+        """Return the platform's list of live and leaving VMs, which may lag."""
         _, body = await self._read("/vms", CALL_TIMEOUT_S)
         return [ListedVm(item["vm"], item["leaving"]) for item in json.loads(body)]
 
@@ -108,21 +111,21 @@
             head, body = await fetch(self.address, "GET", path, timeout_s=timeout_s)
         except HttpError as error:
             raise PlatformUnavailable(f"GET {path}: {error}") from error
-        if head.status != STATUS_NO_CHANGE:
+        if head.status != STATUS_NOT_MODIFIED:
             _require_success(head, path, body)
         return head, body
 
 
-def _stored(kind, name, head, body) -> StoredObject:
-    return StoredObject(kind, name, _version(head), body)
+def _make_object(kind, name, head, body) -> StoredObject:
+    return StoredObject(kind, name, _parse_version(head), body)
 
 
-def _version(head) -> int:
+def _parse_version(head) -> int:
     return int((head.header(b"etag") or '"0"').strip('"'))
 
 
 def _require_success(head, path, body):
-    if head.status == STATUS_MISSING:
+    if head.status == STATUS_NOT_FOUND:
         raise ObjectMissing(path)
     if head.status >= 300:
         text = body.decode("utf-8", "replace").strip()
--- a/packages/measure/plantainshed_measure/rig.py
+++ b/packages/measure/plantainshed_measure/rig.py
@@ -168,7 +168,7 @@
             limiter=self.policy.limiter(self.document, len(self.domain_of)),
             order=self.policy.order(),
         )
-        transport.values = node.follower.value
+        transport.get_value = node.follower.value
         running = RunningVm(node, trio.CancelScope())
         self.vms[vm] = running
         self.platform.vms[vm] = ListedVm(vm, leaving=False)
@@ -183,7 +183,7 @@
         running = self.vms.pop(vm)
         for scope in [running.scope, *running.requests]:
             scope.cancel()
-        self.network.ends.pop(vm, None)
+        self.network.transports.pop(vm, None)
 
     def forget_vm(self, vm: str):
         """Have the platform drop a VM from its list."""
--- a/tests/coordination/test_lending.py
+++ b/tests/coordination/test_lending.py
@@ -22,7 +22,7 @@
 from plantainshed_coordination.rate_part import RatePart
 from plantainshed_coordination.rebalancer import PERIOD_S
 from plantainshed_standins.memory_network import DEFAULT_DELAY_S
-from tests.support import PartsFleet, on_mock_clock
+from tests.support import MemoryFleet, on_mock_clock
 
 # The rate is so low that during a test only a loan can provide another token.
 SLOW = BudgetSpec("workspace/comune", BudgetKind.RATE, rate=0.2, burst=8.0)
@@ -70,7 +70,7 @@
         longer than a loan is usable, as on a busy machine. The borrower treated the
         late loan as proof that no VM has tokens.
         """
-        fleet = PartsFleet(TWO_VMS, specs=[SLOW])
+        fleet = MemoryFleet(TWO_VMS, specs=[SLOW])
         async with fleet.running() as vms:
             await trio.sleep(SETTLE_S)
             await self.spend_own(vms["a-1"])
@@ -81,7 +81,7 @@
     @on_mock_clock
     async def test_lender_that_is_slow_again_after_it_lent_is_asked_again(self):
         """A VM that is late twice in 2 s, but lent in between, is not empty."""
-        fleet = PartsFleet(TWO_VMS, specs=[SLOW])
+        fleet = MemoryFleet(TWO_VMS, specs=[SLOW])
         async with fleet.running() as vms:
             await trio.sleep(SETTLE_S)
             for _ in range(2):
@@ -98,7 +98,7 @@
         Counted separately, they made the VM count as empty.
         """
         other = evolve(SLOW, name="workspace/piccolo")
-        fleet = PartsFleet(TWO_VMS, specs=[SLOW, other])
+        fleet = MemoryFleet(TWO_VMS, specs=[SLOW, other])
         async with fleet.running() as vms:
             await trio.sleep(SETTLE_S)
             lending = vms["a-1"].lending
@@ -123,7 +123,7 @@
 
         It was treated as empty after as few failures as a VM that never answers.
         """
-        fleet = PartsFleet(TWO_VMS, specs=[SLOW])
+        fleet = MemoryFleet(TWO_VMS, specs=[SLOW])
         async with fleet.running() as vms:
             await trio.sleep(SETTLE_S)
             await self.spend_own(vms["a-1"])
@@ -136,7 +136,7 @@
 
         The VM counted as empty for 0.5 s although its answers had arrived.
         """
-        fleet = PartsFleet(TWO_VMS, specs=[SLOW])
+        fleet = MemoryFleet(TWO_VMS, specs=[SLOW])
         async with fleet.running() as vms:
             await trio.sleep(SETTLE_S)
             await self.spend_own(vms["a-1"])
@@ -148,7 +148,7 @@
     @on_mock_clock
     async def test_lender_that_is_always_late_is_given_up(self):
         """Requests do not keep waiting for a VM whose loans never arrive in time."""
-        fleet = PartsFleet(TWO_VMS, specs=[SLOW])
+        fleet = MemoryFleet(TWO_VMS, specs=[SLOW])
         async with fleet.running() as vms:
             await trio.sleep(SETTLE_S)
             await self.spend_own(vms["a-1"])
@@ -167,7 +167,7 @@
 
         All VMs answer in time that they have no tokens, so retrying would not help.
         """
-        fleet = PartsFleet(TWO_VMS, specs=[SLOW])
+        fleet = MemoryFleet(TWO_VMS, specs=[SLOW])
         async with fleet.running() as vms:
             await trio.sleep(SETTLE_S)
             for vm in vms.values():
@@ -179,7 +179,7 @@
     @on_mock_clock
     async def test_lender_that_went_silent_is_given_up(self):
         """A request does not hang when a VM that had tokens has been cut off."""
-        fleet = PartsFleet(TWO_VMS, specs=[SLOW])
+        fleet = MemoryFleet(TWO_VMS, specs=[SLOW])
         async with fleet.running() as vms:
             await trio.sleep(SETTLE_S)
             await self.spend_own(vms["a-1"])
@@ -220,7 +220,7 @@
         one borrows and is told that no VM has tokens left. The tokens then arrive, but
         the next request was refused without asking, due to the remembered answers.
         """
-        fleet = PartsFleet(THREE_VMS, specs=[SLOW])
+        fleet = MemoryFleet(THREE_VMS, specs=[SLOW])
         async with fleet.running() as vms:
             # Halfway between two ledger writes of the running rebalancer.
             await trio.sleep(SETTLE_S + PERIOD_S / 2)
@@ -249,7 +249,7 @@
         A VM learns of two half tokens on other VMs and borrows both, but one of them
         is taken by another request first. The half that was lent was then lost.
         """
-        fleet = PartsFleet(THREE_VMS, specs=[SLOW])
+        fleet = MemoryFleet(THREE_VMS, specs=[SLOW])
         async with fleet.running() as vms:
             await trio.sleep(SETTLE_S + PERIOD_S / 2)
             for vm, amount in (("a-1", 0.0), ("b-1", 0.5), ("c-1", 0.55)):
@@ -305,7 +305,7 @@
     @on_mock_clock
     async def test_silent_lender_is_not_asked_by_each_request(self):
         """Successive requests do not each wait for a VM that has been cut off."""
-        fleet = PartsFleet(TWO_VMS, specs=[SLOW])
+        fleet = MemoryFleet(TWO_VMS, specs=[SLOW])
         async with fleet.running() as vms:
             await trio.sleep(SETTLE_S)
             self.keep_only(vms["a-1"], 0.0)
@@ -328,7 +328,7 @@
         although the lender had plenty.
         """
         plenty = evolve(SLOW, burst=200.0)
-        fleet = PartsFleet(TWO_VMS, specs=[plenty])
+        fleet = MemoryFleet(TWO_VMS, specs=[plenty])
         async with fleet.running() as vms:
             await trio.sleep(SETTLE_S + PERIOD_S / 2)
             borrower = vms["a-1"]
@@ -363,7 +363,7 @@
 
         The VM gets a token while the first request asks other VMs without success.
         """
-        fleet = PartsFleet(TWO_VMS, specs=[SLOW])
+        fleet = MemoryFleet(TWO_VMS, specs=[SLOW])
         async with fleet.running() as vms:
             await trio.sleep(SETTLE_S + PERIOD_S / 2)
             for vm in vms.values():
@@ -388,7 +388,7 @@
         Two were refused, because the second loan expired while the VM waited for the
         answer of another lender.
         """
-        fleet = PartsFleet(THREE_VMS, specs=[SLOW])
+        fleet = MemoryFleet(THREE_VMS, specs=[SLOW])
         async with fleet.running() as vms:
             await trio.sleep(SETTLE_S + PERIOD_S / 2)
             for vm, amount in (("a-1", 0.0), ("b-1", 2.2), ("c-1", 1.0)):
--- a/tests/coordination/test_membership.py
+++ b/tests/coordination/test_membership.py
@@ -7,13 +7,13 @@
 from plantainshed_coordination.members import Liveness
 from plantainshed_coordination.membership import PAUSE_THRESHOLD_S, SILENT_AFTER_S
 from plantainshed_coordination.platform import ListedVm
-from tests.support import FOUR_VMS, PartsFleet, on_mock_clock
+from tests.support import FOUR_VMS, MemoryFleet, on_mock_clock
 
 
 class TestMembership(unittest.TestCase):
     @on_mock_clock
     async def test_everybody_hears_of_everybody(self):
-        fleet = PartsFleet(FOUR_VMS)
+        fleet = MemoryFleet(FOUR_VMS)
         async with fleet.running() as vms:
             await trio.sleep(5)
             for vm in vms.values():
@@ -21,7 +21,7 @@
 
     @on_mock_clock
     async def test_dead_vm_is_suspected_then_silent_then_gone(self):
-        fleet = PartsFleet(FOUR_VMS)
+        fleet = MemoryFleet(FOUR_VMS)
         async with fleet.running() as vms:
             await trio.sleep(5)
             fleet.kill("a-2")
@@ -42,7 +42,7 @@
         Two VMs of a failure domain cannot reach each other, while a third VM
         receives the heartbeats of both.
         """
-        fleet = PartsFleet((("a-1", "a"), ("a-2", "a"), ("a-3", "a")))
+        fleet = MemoryFleet((("a-1", "a"), ("a-2", "a"), ("a-3", "a")))
         async with fleet.running() as vms:
             await trio.sleep(5)
             fleet.network.faults.is_cut = lambda s, r: {s, r} == {"a-1", "a-2"}
@@ -51,7 +51,7 @@
 
     @on_mock_clock
     async def test_new_vm_missing_from_the_lagging_list_is_not_gone(self):
-        fleet = PartsFleet(FOUR_VMS)
+        fleet = MemoryFleet(FOUR_VMS)
         async with fleet.running() as vms:
             del fleet.platform.vms["b-1"]
             await trio.sleep(30)
@@ -59,7 +59,7 @@
 
     @on_mock_clock
     async def test_silent_but_listed_vm_is_not_gone(self):
-        fleet = PartsFleet(FOUR_VMS)
+        fleet = MemoryFleet(FOUR_VMS)
         async with fleet.running() as vms:
             await trio.sleep(5)
             fleet.cut(["a-1", "a-2"], ["b-1", "b-2"])
@@ -76,7 +76,7 @@
         The process is paused while the key is withdrawn. When it resumes, it
         admits a waiting request before any update has arrived.
         """
-        fleet = PartsFleet(FOUR_VMS)
+        fleet = MemoryFleet(FOUR_VMS)
         async with fleet.running() as vms:
             await trio.sleep(5)
             view = vms["a-1"].membership
@@ -94,7 +94,7 @@
         name. The first one resumes and keeps using shares of the budgets that
         have been given to other VMs.
         """
-        fleet = PartsFleet(FOUR_VMS)
+        fleet = MemoryFleet(FOUR_VMS)
         async with fleet.running() as vms:
             await trio.sleep(5)
             old = vms["a-1"]
@@ -115,7 +115,7 @@
         The VM's clock went back between two starts, so the new process has the
         lower incarnation.
         """
-        fleet = PartsFleet(FOUR_VMS)
+        fleet = MemoryFleet(FOUR_VMS)
         fleet.incarnation = 100
         async with fleet.running() as vms:
             await trio.sleep(5)
@@ -136,7 +136,7 @@
         The longest-running VM of the domain, with the highest summary number,
         dies. The lower numbers of the other VM were treated as outdated.
         """
-        fleet = PartsFleet(FOUR_VMS)
+        fleet = MemoryFleet(FOUR_VMS)
         async with fleet.running() as vms:
             await trio.sleep(600)
             fleet.kill("b-2")
@@ -151,7 +151,7 @@
 
     @on_mock_clock
     async def test_everybody_learns_who_is_leaving(self):
-        fleet = PartsFleet(FOUR_VMS)
+        fleet = MemoryFleet(FOUR_VMS)
         async with fleet.running() as vms:
             await trio.sleep(5)
             fleet.platform.vms["b-1"] = ListedVm("b-1", leaving=True)
@@ -164,7 +164,7 @@
 
     @on_mock_clock
     async def test_survives_loss_repeats_and_reordering(self):
-        fleet = PartsFleet(FOUR_VMS, seed=5)
+        fleet = MemoryFleet(FOUR_VMS, seed=5)
         fleet.network.faults.loss = 0.3
         fleet.network.faults.repeat = 0.3
         fleet.network.faults.jitter_s = 0.5
--- a/tests/support.py
+++ b/tests/support.py
@@ -1,4 +1,4 @@
-"""Shared helpers: running on the pausable clock, small fleets of parts."""
+"""Shared test helpers: decorators for async tests, and small in-memory fleets."""
 
 import contextlib
 import functools
@@ -27,7 +27,7 @@
 
 
 def on_mock_clock(function):
-    """Run an async test on a clock that jumps whenever everybody waits."""
+    """Run an async test on a mock clock that jumps whenever all tasks wait."""
 
     @functools.wraps(function)
     def run(self):
@@ -41,7 +41,7 @@
 
 
 def on_real_clock(function):
-    """Run an async test that uses real sockets; nothing asserts durations."""
+    """Run an async test that uses real sockets; such tests assert no durations."""
 
     @functools.wraps(function)
     def run(self):
@@ -54,10 +54,10 @@
     return run
 
 
-class PartsVm:
-    """The coordination parts of one VM, without the entry daemon."""
+class MemoryVm:
+    """The coordination components of one VM, without the entry daemon."""
 
-    def __init__(self, fleet: "PartsFleet", vm: str, incarnation: int):
+    def __init__(self, fleet: "MemoryFleet", vm: str, incarnation: int):
         domain = fleet.domains[vm]
         identity = Identity(vm, domain, incarnation)
         self.transport = fleet.network.open(vm)
@@ -98,7 +98,7 @@
     async def run(self):
         with self.scope:
             async with trio.open_nursery() as nursery:
-                for part in (
+                for component in (
                     self.network,
                     self.membership,
                     self.rumors,
@@ -106,7 +106,7 @@
                     self.operations,
                     self.reporter,
                 ):
-                    nursery.start_soon(part.run)
+                    nursery.start_soon(component.run)
                 for shard, rebalancer in self.rebalancers.items():
                     nursery.start_soon(rebalancer.run, self._candidates(shard))
 
@@ -117,12 +117,12 @@
 
     @property
     def part(self):
-        """The first budget's part."""
+        """This VM's part of the first budget."""
         return next(iter(self.holdings.parts.values()))
 
 
-class PartsFleet:
-    """A few `PartsVm` on one network in memory."""
+class MemoryFleet:
+    """A few `MemoryVm` objects on one in-memory network."""
 
     def __init__(self, domains, specs=(WORKSPACE,), seed=1, platform_of=None):
         self.domains = dict(domains)
@@ -130,23 +130,23 @@
         self.network = MemoryNetwork(seed)
         self.platform = MemoryPlatform()
         self.platform_of = platform_of or (lambda vm: self.platform)
-        self.vms: dict[str, PartsVm] = {}
+        self.vms: dict[str, MemoryVm] = {}
         self.incarnation = 0
         self.nursery = None
 
-    def start(self, vm: str) -> PartsVm:
+    def start(self, vm: str) -> MemoryVm:
         self.incarnation += 1
-        started = self.vms[vm] = PartsVm(self, vm, self.incarnation)
+        started = self.vms[vm] = MemoryVm(self, vm, self.incarnation)
         self.platform.vms[vm] = ListedVm(vm, leaving=False)
         self.nursery.start_soon(started.run)
         return started
 
     def kill(self, vm: str):
         self.vms.pop(vm).scope.cancel()
-        self.network.ends.pop(vm, None)
+        self.network.transports.pop(vm, None)
 
     def cut(self, *groups):
-        """Let datagrams pass inside each group of VMs only."""
+        """Partition the network: deliver datagrams only within each group of VMs."""
         group_of = {vm: index for index, group in enumerate(groups) for vm in group}
 
         def is_cut(sender, receiver):
