--- a/packages/entry/plantainshed_entry/attempts.py
+++ b/packages/entry/plantainshed_entry/attempts.py
@@ -11,7 +11,7 @@
 from .call import Call
 from .errors import AttemptFailed, Refusal
 from .metrics import Metrics
-from .poison import PoisonBook
+from .poison import PoisonTracker
 from .reasons import Outcome, Reason, RetryReason
 from .retry_budget import RetryBudget
 from .routing import Routing
@@ -32,7 +32,7 @@
     ----------
     routing : Routing
     targets : TargetTable
-    poison : PoisonBook
+    poison : PoisonTracker
     metrics : Metrics
     relay : callable
         Runs one attempt at one target; raises `AttemptFailed`.
@@ -42,7 +42,7 @@
         self,
         routing: Routing,
         targets: TargetTable,
-        poison: PoisonBook,
+        poison: PoisonTracker,
         metrics: Metrics,
         relay: Relay,
     ):
--- a/packages/entry/plantainshed_entry/node.py
+++ b/packages/entry/plantainshed_entry/node.py
@@ -32,7 +32,7 @@
 from .in_force import budget_specs, nothing_in_force, put_in_force
 from .loads import DomainLoad, LoadBoard
 from .lookup import TTL_S, Lookup
-from .poison import PoisonBook
+from .poison import PoisonTracker
 from .probing import Probe, Probing
 from .routing import Routing
 from .serving import Serving
@@ -96,7 +96,7 @@
         self.admission = Admission(
             self.rumors, limiter or self.lending, context.metrics
         )
-        self.poison = PoisonBook(self.rumors)
+        self.poison = PoisonTracker(self.rumors)
         self.attempts = Attempts(
             self.routing, self.targets, self.poison, context.metrics, relay
         )
--- a/packages/entry/plantainshed_entry/poison.py
+++ b/packages/entry/plantainshed_entry/poison.py
@@ -32,7 +32,7 @@
     return digest.hexdigest()
 
 
-class PoisonBook:
+class PoisonTracker:
     """Which fingerprints are under suspicion, and which are stopped."""
 
     def __init__(self, rumors: RumorBook):
