--- a/packages/entry/plantainshed_entry/poison.py
+++ b/packages/entry/plantainshed_entry/poison.py
@@ -23,7 +23,9 @@
 SEPARATOR = "/"
 
 
-def fingerprint(workspace: str, method: str, path: str, body: bytes | None) -> str:
+def compute_fingerprint(
+    workspace: str, method: str, path: str, body: bytes | None
+) -> str:
     """Return what recognises the same request when it is sent again."""
     digest = xxhash.xxh3_128()
     for part in (workspace, method, path):
--- a/packages/entry/plantainshed_entry/serving.py
+++ b/packages/entry/plantainshed_entry/serving.py
@@ -30,7 +30,7 @@
 from .in_force import InForce
 from .loads import LoadBoard
 from .lookup import Lookup
-from .poison import fingerprint
+from .poison import compute_fingerprint
 from .reasons import STATUS, Outcome, Reason
 from .recorded_answers import AnswerRecorder, RecordedAnswer
 from .relay import DEADLINE_HEADER
@@ -129,7 +129,7 @@
         await self.admission.spend_rate(admitted.workspace)
         if _is_small(head):
             call.body = await exchange.read_body(BUFFERED_BODY_BYTES)
-        call.fingerprint = fingerprint(
+        call.fingerprint = compute_fingerprint(
             call.workspace, call.method, call.path, call.body
         )
         return call
