--- a/packages/entry/plantainshed_entry/domain_news.py
+++ b/packages/entry/plantainshed_entry/domain_news.py
@@ -4,7 +4,7 @@
 from attrs import frozen
 
 from .loads import DomainLoad
-from .targets import ProbeNews
+from .targets import ProbeResult
 
 
 @frozen
@@ -14,14 +14,14 @@
     Parameters
     ----------
     load : DomainLoad
-    probes : dict of str to ProbeNews
+    probes : dict of str to ProbeResult
         What it found, by target.
     outside_silence_s : float
         How long it has heard nothing from outside the failure domain.
     """
 
     load: DomainLoad
-    probes: dict[str, ProbeNews]
+    probes: dict[str, ProbeResult]
     outside_silence_s: float
 
     def to_bytes(self) -> bytes:
@@ -39,6 +39,6 @@
         load, probes, silence_s = orjson.loads(data)
         return cls(
             DomainLoad.from_bytes(load.encode()),
-            {n: ProbeNews(bool(h), bool(d), x) for n, (h, d, x) in probes.items()},
+            {n: ProbeResult(bool(h), bool(d), x) for n, (h, d, x) in probes.items()},
             silence_s,
         )
--- a/packages/entry/plantainshed_entry/http_probe.py
+++ b/packages/entry/plantainshed_entry/http_probe.py
@@ -5,10 +5,10 @@
 
 from .probing import PROBE_TIMEOUT_S
 from .relay import DRAINING_HEADER, reported_load
-from .targets import ProbeNews, TargetState
+from .targets import ProbeResult, TargetState
 
 
-async def probe_over_http(state: TargetState) -> ProbeNews:
+async def probe_over_http(state: TargetState) -> ProbeResult:
     """Ask a target's health endpoint; a target that fails to answer is unhealthy."""
     try:
         head, _ = await fetch(
@@ -18,8 +18,8 @@
             timeout_s=PROBE_TIMEOUT_S,
         )
     except HttpError:
-        return ProbeNews(healthy=False, draining=False, load=0.0)
-    return ProbeNews(
+        return ProbeResult(healthy=False, draining=False, load=0.0)
+    return ProbeResult(
         healthy=200 <= head.status < 300,
         draining=head.header(DRAINING_HEADER) is not None,
         load=reported_load(head) or 0.0,
--- a/packages/entry/plantainshed_entry/probing.py
+++ b/packages/entry/plantainshed_entry/probing.py
@@ -12,12 +12,12 @@
 from plantainshed_coordination.digests import rendezvous_order
 from plantainshed_coordination.membership import Membership
 
-from .targets import ProbeNews, TargetState, TargetTable
+from .targets import ProbeResult, TargetState, TargetTable
 
 PROBE_PERIOD_S = 2.0
 PROBE_TIMEOUT_S = 1.0
 
-Probe = Callable[[TargetState], Awaitable[ProbeNews]]
+Probe = Callable[[TargetState], Awaitable[ProbeResult]]
 
 
 class Probing:
@@ -32,7 +32,7 @@
 
     Attributes
     ----------
-    found : dict of str to ProbeNews
+    found : dict of str to ProbeResult
         What this VM found, to be shared.
     probes : int
         How often this VM probed.
@@ -42,7 +42,7 @@
         self.membership = membership
         self.targets = targets
         self.probe = probe
-        self.found: dict[str, ProbeNews] = {}
+        self.found: dict[str, ProbeResult] = {}
         self.probes = 0
 
     async def run(self):
@@ -67,7 +67,7 @@
 
     async def _probe_one(self, state: TargetState):
         self.probes += 1
-        news = ProbeNews(healthy=False, draining=False, load=0.0)
+        news = ProbeResult(healthy=False, draining=False, load=0.0)
         with trio.move_on_after(PROBE_TIMEOUT_S):
             news = await self.probe(state)
         self.found[state.target.name] = news
--- a/packages/entry/plantainshed_entry/relay.py
+++ b/packages/entry/plantainshed_entry/relay.py
@@ -29,7 +29,7 @@
 from .call import Call
 from .errors import AttemptFailed, Refusal
 from .reasons import Outcome, Reason
-from .targets import ProbeNews, TargetState
+from .targets import ProbeResult, TargetState
 
 CONNECT_TIMEOUT_S = 1.0
 DEADLINE_HEADER = b"request-timeout-ms"
@@ -245,5 +245,5 @@
     if load is None:
         return
     healthy = state.probe.healthy if state.probe else True
-    state.probe = ProbeNews(healthy, state.is_leaving, load)
+    state.probe = ProbeResult(healthy, state.is_leaving, load)
     state.probe_at = trio.current_time()
--- a/packages/entry/plantainshed_entry/targets.py
+++ b/packages/entry/plantainshed_entry/targets.py
@@ -31,7 +31,7 @@
 
 
 @frozen
-class ProbeNews:
+class ProbeResult:
     """What a prober says of a target.
 
     Parameters
@@ -69,7 +69,7 @@
     ejected_until: float = 0.0
     ejections: int = 0
     success_at: float = -SUCCESS_COUNTS_S
-    probe: ProbeNews | None = None
+    probe: ProbeResult | None = None
     probe_at: float = 0.0
     draining_at: float = -NEWS_FRESH_S
     refused_until: float = 0.0
@@ -338,7 +338,7 @@
             # It comes back with one slot at first and is warmed up.
             state.warm_since = state.ejected_until
 
-    def note_probe(self, name: str, news: ProbeNews):
+    def note_probe(self, name: str, news: ProbeResult):
         """Take in what a prober found."""
         state = self.states.get(name)
         if state is None:
--- a/packages/measure/plantainshed_measure/memory_targets.py
+++ b/packages/measure/plantainshed_measure/memory_targets.py
@@ -8,7 +8,7 @@
 from plantainshed_entry.call import Call
 from plantainshed_entry.errors import AttemptFailed
 from plantainshed_entry.reasons import Outcome
-from plantainshed_entry.targets import ProbeNews
+from plantainshed_entry.targets import ProbeResult
 
 POISON_PATH = "/poison"
 
@@ -68,8 +68,8 @@
         self._crash.set()
         self._crash = trio.Event()
 
-    def probe(self) -> ProbeNews:
+    def probe(self) -> ProbeResult:
         """Return what the health endpoint says."""
         if self.is_down and not self.lies_healthy:
-            return ProbeNews(healthy=False, draining=False, load=0.0)
-        return ProbeNews(True, self.is_draining, float(self.running))
+            return ProbeResult(healthy=False, draining=False, load=0.0)
+        return ProbeResult(True, self.is_draining, float(self.running))
