--- a/packages/entry/plantainshed_entry/loads.py
+++ b/packages/entry/plantainshed_entry/loads.py
@@ -51,7 +51,7 @@
     at: float
 
 
-class LoadBoard:
+class LoadTracker:
     """The loads of this VM, of its domain's other VMs, and of other domains.
 
     Parameters
--- a/packages/entry/plantainshed_entry/node.py
+++ b/packages/entry/plantainshed_entry/node.py
@@ -30,7 +30,7 @@
 from .domain_news import DomainNews
 from .facts import Facts
 from .in_force import budget_specs, nothing_in_force, put_in_force
-from .loads import DomainLoad, LoadBoard
+from .loads import DomainLoad, LoadTracker
 from .lookup import TTL_S, Lookup
 from .poison import PoisonTracker
 from .probing import Probe, Probing
@@ -89,7 +89,7 @@
         )
         self.operations = OperationRegistry(self.network, self.membership)
         self.targets = TargetTable(self.holdings, order)
-        self.loads = LoadBoard(settings.failure_domain)
+        self.loads = LoadTracker(settings.failure_domain)
         self.steering = Steering(self.membership, self.targets, self.loads)
         self.lookup = Lookup(self.membership, self.steering)
         self.routing = Routing(self.membership, self.lending, self.targets)
--- a/packages/entry/plantainshed_entry/serving.py
+++ b/packages/entry/plantainshed_entry/serving.py
@@ -28,7 +28,7 @@
 from .errors import Refusal
 from .facts import Facts
 from .in_force import InForce
-from .loads import LoadBoard
+from .loads import LoadTracker
 from .lookup import Lookup
 from .poison import compute_fingerprint
 from .reasons import STATUS, Outcome, Reason
@@ -65,7 +65,7 @@
         admission: Admission,
         attempts: Attempts,
         operations: OperationRegistry,
-        loads: LoadBoard,
+        loads: LoadTracker,
         lookup: Lookup,
         facts: Facts,
     ):
--- a/packages/entry/plantainshed_entry/steering.py
+++ b/packages/entry/plantainshed_entry/steering.py
@@ -8,7 +8,7 @@
 from plantainshed_model.document import DrainKind, Pool, ShiftState
 
 from .in_force import InForce
-from .loads import DomainLoad, LoadBoard
+from .loads import DomainLoad, LoadTracker
 from .plan import Place, PlannedShift, Shares, approach, plan_pool
 from .targets import TargetTable
 
@@ -27,7 +27,9 @@
         The plan, by pool.
     """
 
-    def __init__(self, membership: Membership, targets: TargetTable, loads: LoadBoard):
+    def __init__(
+        self, membership: Membership, targets: TargetTable, loads: LoadTracker
+    ):
         self.membership = membership
         self.targets = targets
         self.loads = loads
