--- a/packages/entry/plantainshed_entry/node.py
+++ b/packages/entry/plantainshed_entry/node.py
@@ -216,7 +216,7 @@
             self.serving,
         ):
             part.in_force = in_force
-        self.targets.take_document(in_force)
+        self.targets.update_document(in_force)
         self.lookup.forget()
         for key in in_force.document.keys:
             if key.withdrawn:
--- a/packages/entry/plantainshed_entry/targets.py
+++ b/packages/entry/plantainshed_entry/targets.py
@@ -204,7 +204,7 @@
         self._by_pool: dict[str, list[TargetState]] = {}
         self._is_first = True
 
-    def take_document(self, in_force: InForce):
+    def update_document(self, in_force: InForce):
         """Take over the targets of a document that came into force."""
         document = in_force.document
         states = {}
