--- a/packages/entry/plantainshed_entry/node.py
+++ b/packages/entry/plantainshed_entry/node.py
@@ -131,7 +131,7 @@
         )
 
     def _join_parts(self):
-        self.holdings.choose_from_group = self.routing.choose_to_lend
+        self.holdings.choose_from_group = self.routing.choose_slots_to_lend
         self.membership.make_heartbeat_extra = self._news_for_domain
         self.membership.on_heartbeat_extra = self._take_domain_news
         self.membership.make_summary_extra = self._load_for_domains
--- a/packages/entry/plantainshed_entry/routing.py
+++ b/packages/entry/plantainshed_entry/routing.py
@@ -185,7 +185,7 @@
         if queue is not None:
             queue.wake_next()
 
-    def choose_to_lend(self, group: str, alone: bool = False) -> str | None:
+    def choose_slots_to_lend(self, group: str, alone: bool = False) -> str | None:
         """Return the slots to lend from for another VM's request, if any.
 
         Own callers that wait in the queue come first.
