--- a/packages/entry/plantainshed_entry/node.py
+++ b/packages/entry/plantainshed_entry/node.py
@@ -235,7 +235,7 @@
     def _news_for_domain(self) -> bytes:
         load = self.loads.own_load({})
         silence_s = trio.current_time() - self.admission.outside_heard_at
-        return DomainNews(load, self.probing.found, max(0.0, silence_s)).to_bytes()
+        return DomainNews(load, self.probing.results, max(0.0, silence_s)).to_bytes()
 
     def _take_domain_news(self, vm: str, data: bytes):
         if not data:
--- a/packages/entry/plantainshed_entry/probing.py
+++ b/packages/entry/plantainshed_entry/probing.py
@@ -32,7 +32,7 @@
 
     Attributes
     ----------
-    found : dict of str to ProbeResult
+    results : dict of str to ProbeResult
         What this VM found, to be shared.
     probes : int
         How often this VM probed.
@@ -42,7 +42,7 @@
         self.membership = membership
         self.targets = targets
         self.probe = probe
-        self.found: dict[str, ProbeResult] = {}
+        self.results: dict[str, ProbeResult] = {}
         self.probes = 0
 
     async def run(self):
@@ -50,7 +50,7 @@
         async with trio.open_nursery() as nursery:
             while True:
                 mine = self._own_targets()
-                self.found = {n: f for n, f in self.found.items() if n in mine}
+                self.results = {n: f for n, f in self.results.items() if n in mine}
                 for state in mine.values():
                     nursery.start_soon(self._probe_one, state)
                 await trio.sleep(PROBE_PERIOD_S)
@@ -70,5 +70,5 @@
         news = ProbeResult(healthy=False, draining=False, load=0.0)
         with trio.move_on_after(PROBE_TIMEOUT_S):
             news = await self.probe(state)
-        self.found[state.target.name] = news
+        self.results[state.target.name] = news
         self.targets.note_probe(state.target.name, news)
