--- a/packages/entry/plantainshed_entry/relay.py
+++ b/packages/entry/plantainshed_entry/relay.py
@@ -129,7 +129,7 @@
             if call.body is not None:
                 await self._send_whole_body(call, connection)
                 head = await connection.response_head()
-                await self._answer(call, state, connection, head)
+                await self._relay_response(call, state, connection, head)
             else:
                 await self._stream_both_ways(call, state, connection)
         except UnsendableRequest as error:
@@ -151,7 +151,7 @@
         async with open_plain_nursery() as nursery:
             nursery.start_soon(self._send_body, call, connection)
             head = await connection.response_head()
-            await self._answer(call, state, connection, head)
+            await self._relay_response(call, state, connection, head)
             nursery.cancel_scope.cancel()
 
     async def _send_body(self, call, connection):
@@ -159,7 +159,7 @@
             await connection.send_body(chunk)
         await connection.end_request()
 
-    async def _answer(self, call, state, connection, head):
+    async def _relay_response(self, call, state, connection, head):
         _learn_from_answer(state, head)
         if head.status == 503 and head.header(NOT_RUN_HEADER):
             async for _ in connection.response_body():
--- a/tests/entry/test_internal_errors.py
+++ b/tests/entry/test_internal_errors.py
@@ -40,7 +40,7 @@
             await call.exchange.send(b"half")
             raise KeyError("x")
 
-        fault = mock.patch.object(HttpRelay, "_answer", answer_half)
+        fault = mock.patch.object(HttpRelay, "_relay_response", answer_half)
         async with self.cuts_no_other(fault) as running:
             with self.assertRaises(ConnectionBroken):
                 await running.call(path="/prenota/2")
