--- a/packages/entry/plantainshed_entry/admission.py
+++ b/packages/entry/plantainshed_entry/admission.py
@@ -60,7 +60,7 @@
         self.in_force: InForce | None = None
         self.outside_heard_at = trio.current_time()
 
-    def identify(self, head: RequestHead) -> Admitted:
+    def authenticate(self, head: RequestHead) -> Admitted:
         """Return whose key a request carries, or raise `Refusal`."""
         text = head.header(b"authorization") or ""
         if not text.lower().startswith(BEARER):
--- a/packages/entry/plantainshed_entry/serving.py
+++ b/packages/entry/plantainshed_entry/serving.py
@@ -112,7 +112,7 @@
         pool = self.in_force.pool_for(head.target)
         if pool is None:
             raise Refusal(Reason.UNKNOWN_PATH, f"no pool serves {head.target}")
-        admitted = self.admission.identify(head)
+        admitted = self.admission.authenticate(head)
         call = Call(
             request_id=secrets.token_hex(REQUEST_ID_BYTES),
             method=head.method,
