--- a/packages/entry/plantainshed_entry/routing.py
+++ b/packages/entry/plantainshed_entry/routing.py
@@ -1,8 +1,8 @@
-"""Where a request runs: a target with room, near before far.
+"""Routing of requests to targets with a free slot, nearest first.
 
-Own slots come first, then slots borrowed from VMs of the own failure domain,
-of the region, and of other regions. A request that finds none waits its turn
-for a moment and is then refused, truthfully as not run.
+Own slots are tried first, then slots borrowed from VMs of the own failure domain,
+of the own region and of other regions. A request that gets no slot waits briefly in
+a queue. If it still gets none, it is refused with the outcome "not run".
 """
 
 import contextlib
@@ -36,13 +36,13 @@
 
 @frozen
 class Slot:
-    """A slot of a target, to be given back.
+    """A slot of a target that has to be released after use.
 
     Parameters
     ----------
     state : TargetState
     loan : BorrowedCount or None
-        Set when the slot is another VM's.
+        The loan, if the slot was borrowed from another VM.
     """
 
     state: TargetState
@@ -50,13 +50,13 @@
 
 
 class Routing:
-    """Finds slots for requests.
+    """Acquires slots for requests and lends slots to other VMs.
 
     Attributes
     ----------
     in_force : InForce
     queues : dict of str to SlotQueue
-        By pool.
+        Queues of requests that wait for a slot, by pool.
     """
 
     def __init__(self, membership: Membership, lending: Lending, targets: TargetTable):
@@ -69,10 +69,10 @@
         self._full_until: dict[tuple[str, str], float] = {}
 
     async def run(self):
-        """Give waiting requests a turn now and then.
+        """Wake one waiting request of each queue periodically.
 
-        A slot can also come free where no release is seen here: at a VM that
-        lends, or by a change of the ledger.
+        A slot can become free without a release on this VM: at a VM that lends
+        slots, or through a change of the ledger.
         """
         while True:
             await trio.sleep(WAKE_PERIOD_S)
@@ -81,7 +81,17 @@
 
     @contextlib.asynccontextmanager
     async def slot(self, call: Call, excluded=frozenset(), exclusive: bool = False):
-        """Hold a slot for a block, or raise `Refusal`."""
+        """Hold a slot for the duration of a block, or raise `Refusal`.
+
+        Parameters
+        ----------
+        call : Call
+        excluded : set of str
+            Names of targets that must not be used.
+        exclusive : bool
+            Whether the request is suspected of crashing targets. Its target must
+            not run another suspected request at the same time.
+        """
         slot = await self._acquire(call, excluded, exclusive)
         state = slot.state
         state.own_in_flight += 1
@@ -136,7 +146,7 @@
         )
 
     async def _try_domains(self, call, domains, excluded, exclusive) -> Slot | None:
-        """Try the domains in order; slow targets only when nothing else has room."""
+        """Try the domains in order; use slow targets only as a last resort."""
         own_domain = self.membership.identity.failure_domain
         for failure_domain in domains:
             if not await self._try_spend_shift_cap(call, failure_domain):
@@ -188,9 +198,9 @@
             queue.wake_next()
 
     def choose_slots_to_lend(self, group: str, exclusive: bool = False) -> str | None:
-        """Return the slots to lend from for another VM's request, if any.
+        """Return the name of the budget to lend a slot from, or None.
 
-        Own callers that wait in the queue come first.
+        Nothing is lent while requests of own callers wait in the queue.
         """
         pool = group.removeprefix(POOL_PREFIX)
         queue = self.queues.get(pool)
@@ -210,7 +220,7 @@
         best = min(candidates, key=lambda state: state.expected_s)
         return SLOTS_PREFIX + best.target.name
 
-    # Which failure domains, in which order.
+    # Order of the failure domains.
 
     def _domains_for(self, call: Call) -> list[str]:
         own = self.membership.identity.failure_domain
@@ -218,19 +228,24 @@
         by_distance = self._domains_of_region(own_region, first=own)
         others = sorted(set(self.in_force.region_by_domain) - set(by_distance))
         far = rendezvous_order(own, others)
-        # A caller that was sent to another region and finds no room there is
-        # best served by its own.
+        # If a caller was steered to another region that has no free slot, its
+        # home region is tried before all other regions.
         home_region = self.in_force.region_of(call.home_domain)
         far.sort(key=lambda name: self.in_force.region_of(name) != home_region)
         return by_distance + [name for name in far if self._is_reachable(name)]
 
     async def _try_spend_shift_cap(self, call: Call, failure_domain: str) -> bool:
-        """Tell whether a request may run in a domain under the shifts' caps.
+        """Count a request against the cap of a shift, if one applies.
+
+        While a shift is listed, its cap limits all traffic of its pool between its
+        two regions, whatever the reason for the traffic. An operator who moves 20
+        requests per second does not want 50 to arrive because the old region
+        overflows or because callers use outdated lookup answers.
 
-        As long as a shift is listed, all traffic of its pool between its two
-        regions is under its cap, whatever sent it there: an operator who
-        moves 20 requests a second does not want 50 arrive because the old
-        region overflows meanwhile, or because callers keep old answers.
+        Returns
+        -------
+        bool
+            False if the cap of the shift is used up.
         """
         shift = self._shift_between(call, failure_domain)
         if shift is None or call.counted_shift == shift.name:
--- a/packages/entry/plantainshed_entry/steering.py
+++ b/packages/entry/plantainshed_entry/steering.py
@@ -1,4 +1,4 @@
-"""Which failure domains a caller is sent to."""
+"""Assignment of callers to failure domains."""
 
 import trio
 
@@ -18,13 +18,13 @@
 
 
 class Steering:
-    """Keeps a plan for each pool and answers where a block's callers go.
+    """Computes a plan for each pool and assigns client blocks to failure domains.
 
     Attributes
     ----------
     in_force : InForce
     shares : dict of str to Shares
-        The plan, by pool.
+        Current plan, by pool.
     """
 
     def __init__(
@@ -37,13 +37,13 @@
         self.shares: dict[str, Shares] = {}
 
     async def run(self):
-        """Make a new plan every `PLAN_PERIOD_S`."""
+        """Recompute the plans every `PLAN_PERIOD_S` seconds."""
         while True:
             await trio.sleep(PLAN_PERIOD_S)
             self.make_plans()
 
     def make_plans(self):
-        """Work out the plan of every pool from what is known now."""
+        """Recompute the plan of every pool from the current loads."""
         loads = self.loads.all_domains(self.own_capacity())
         before_all = self.shares
         self.shares = {}
@@ -58,7 +58,7 @@
             }
 
     def own_capacity(self) -> dict[str, float]:
-        """Return what the own domain's targets can run, by pool."""
+        """Return the requests per second that the own domain can run, by pool."""
         own = self.membership.identity.failure_domain
         return {
             pool.name: self.targets.capacity(pool, own)
@@ -72,13 +72,13 @@
         for load in loads.values():
             for home, rate in load.arrivals.get(pool.name, {}).items():
                 demand[home] = demand.get(home, 0.0) + rate
-        places = {}
+        domains = {}
         for name, region in self.in_force.region_by_domain.items():
             capacity = 0.0
             if name in loads and self._accepts_callers(name):
                 capacity = loads[name].capacity.get(pool.name, 0.0)
-            places[name] = PlannedDomain(name, region, capacity, demand.get(name, 0.0))
-        return places
+            domains[name] = PlannedDomain(name, region, capacity, demand.get(name, 0.0))
+        return domains
 
     def _accepts_callers(self, failure_domain: str) -> bool:
         if self._is_drained(DrainKind.FAILURE_DOMAIN, failure_domain):
@@ -115,7 +115,7 @@
         return rates
 
     def ready_vms(self, failure_domain: str) -> list[str]:
-        """Return the VMs of a domain that take new callers."""
+        """Return the VMs of a failure domain that accept new callers."""
         membership = self.membership
         ready = []
         leaving = set(membership.leaving_vms())
@@ -133,22 +133,23 @@
         return ready
 
     def domains_for(self, pool: str, home: str, block: str) -> list[str]:
-        """Return the failure domains for a block's callers, best first.
+        """Return the failure domains for the callers of a block, best first.
 
-        The first is drawn by the plan's shares: home keeps the low end of the
-        blocks' hashes, so that a change of its share moves only the blocks in
-        between; the others divide the rest by weighted rendezvous hashing.
+        The first domain follows the shares of the plan. The home domain serves the
+        blocks with the lowest hashes, so that a change of its share moves only the
+        blocks between the old and the new share. All other blocks are distributed
+        over the other domains by weighted rendezvous hashing.
         """
         shares = self.shares.get(pool, {}).get(home, {})
         others = {n: w for n, w in shares.items() if n != home and w > 0}
         region = self.in_force.region_of(home)
 
-        def nearness(name: str) -> tuple[bool, bool, float]:
+        def distance_key(name: str) -> tuple[bool, bool, float]:
             same_region = self.in_force.region_of(name) == region
             return name != home, not same_region, -unit_hash(block, name)
 
         names = [n for n in self.in_force.region_by_domain if self._accepts_callers(n)]
-        order = sorted(names, key=nearness)
+        order = sorted(names, key=distance_key)
         home_share = shares.get(home, 0.0 if others else 1.0)
         if others and unit_hash(pool, block) >= home_share:
             best = max(others, key=lambda n: (weighted_score(block, n, others[n]), n))
--- a/packages/entry/plantainshed_entry/targets.py
+++ b/packages/entry/plantainshed_entry/targets.py
@@ -1,7 +1,8 @@
-"""What this VM knows of targets: health, load, leaving, warming up.
+"""State of the targets on this VM: health, load, draining and warm-up.
 
-What real requests meet outranks what a probe says, and "leaving" outranks
-"healthy". Ejection keeps a floor: a false alarm never empties a pool.
+Results of real requests take precedence over probe results, and "draining" takes
+precedence over "healthy". The fraction of ejected targets is limited, so that a false
+alarm cannot empty a pool.
 """
 
 import random
@@ -32,13 +33,13 @@
 
 @frozen
 class ProbeResult:
-    """What a prober says of a target.
+    """Result of a health check of a target.
 
     Parameters
     ----------
     healthy, draining : bool
     load : float
-        Requests that the target says it is running.
+        Number of running requests that the target reports.
     """
 
     healthy: bool
@@ -48,18 +49,24 @@
 
 @define
 class TargetState:
-    """One target as this VM sees it.
+    """State of one target as observed by this VM.
 
     Attributes
     ----------
+    part : CountPart or None
+        This VM's share of the target's slots.
     failures : int
-        Requests in a row that found the target broken.
-    ejected_until, ejections
-        When it may be tried again, and how often it was ejected lately.
+        Consecutive requests that failed because of the target.
+    ejected_until : float
+        When the target may be used again.
+    ejections : int
+        Number of ejections since the last successful request.
     ramp_started_at : float
-        When its ramp began.
+        When the warm-up of the target began.
     service_time_s : float
-        Measured seconds of a request, newer ones count more; 0 if unknown.
+        Moving average of the measured service time; 0 if unknown.
+    suspects_in_flight : int
+        Own requests in flight that are suspected of crashing targets.
     """
 
     target: Target
@@ -80,31 +87,34 @@
 
     @property
     def is_ejected(self) -> bool:
-        """Whether it is out for a while."""
+        """Whether the target is ejected at present."""
         return self.ejected_until > trio.current_time()
 
     @property
     def refuses_connections(self) -> bool:
-        """Whether it refused this VM's connection a moment ago."""
+        """Whether the target recently refused a connection of this VM."""
         return self.refused_until > trio.current_time()
 
     @property
     def is_draining(self) -> bool:
-        """Whether it said lately that it is draining."""
+        """Whether the target recently reported that it is draining."""
         return trio.current_time() - self.draining_at < REPORT_TTL_S
 
     @property
     def runs_suspect(self) -> bool:
-        """Whether a request runs in it that a target has died of, perhaps."""
+        """Whether the target runs a request that is suspected of crashing targets."""
         lent_exclusively = self.part is not None and bool(self.part.exclusive_loans)
         return self.suspects_in_flight > 0 or lent_exclusively
 
     @property
     def seems_healthy(self) -> bool:
-        """Whether probes, or better evidence, speak for it."""
+        """Whether recent requests or probes indicate that the target is healthy.
+
+        A target without a recent result counts as healthy.
+        """
         now = trio.current_time()
         if now - self.last_success_at < SUCCESS_TTL_S:
-            # Its health endpoint may mislead; requests that succeed do not.
+            # A health endpoint can be wrong, so successful requests take precedence.
             return True
         if self.probe is None or now - self.probe_at > REPORT_TTL_S:
             return True
@@ -112,7 +122,7 @@
 
     @property
     def ramp_fraction(self) -> float:
-        """How much of its slots may be used while it warms up, up to 1."""
+        """Fraction of the slots that may be used during warm-up, up to 1."""
         if self.pool.ramp_s <= 0:
             return 1.0
         elapsed = trio.current_time() - self.ramp_started_at
@@ -120,7 +130,11 @@
 
     @property
     def load(self) -> float:
-        """Requests in it for each slot: own ones, or what it says, if more."""
+        """Running requests per slot.
+
+        The larger of the requests of this VM and the load that the target reported
+        is used. The weight of a report decreases with its age.
+        """
         reported = 0.0
         if self.probe is not None:
             age = trio.current_time() - self.probe_at
@@ -129,10 +143,10 @@
 
     @property
     def expected_s(self) -> float:
-        """Seconds that a further request is expected to take.
+        """Expected duration of one more request in seconds.
 
-        What was measured long ago counts less, so that a target that was slow
-        is tried again.
+        The weight of the measured service time decreases with its age, so that a
+        target that was slow is tried again.
         """
         age = trio.current_time() - self.last_success_at
         usual_s = self.pool.service_time_s
@@ -142,7 +156,7 @@
         return seconds * (1.0 + self.load)
 
     def note_success(self, seconds: float):
-        """Note that a request was answered, and how long it took."""
+        """Record that a request was answered, and how long it took."""
         known = self.service_time_s or seconds
         self.service_time_s = known + (seconds - known) * TARGET_TIME_WEIGHT
         self.failures = 0
@@ -151,29 +165,29 @@
             self.ejections = 0
 
     def restart_ramp(self):
-        """Begin to warm up; a target that comes back has a cold cache."""
+        """Restart the warm-up, because a target that returns has a cold cache."""
         self.ramp_started_at = trio.current_time()
 
 
 class TargetOrder(Protocol):
-    """Puts targets with room in the order in which to try them."""
+    """Orders targets with free slots by preference."""
 
     def __call__(self, candidates: list[TargetState]) -> list[TargetState]:
         """Return the candidates, best first."""
 
 
 class FastestFirst:
-    """Prefers the target where a request is expected to end first.
+    """Prefers the target with the shortest expected duration of a request.
 
-    A target that is slow, but not broken, answers all checks and still has
-    free slots; only how long it takes gives it away.
+    A target that is slow but not broken passes all health checks and has free slots.
+    Only the duration of its requests shows that it is slow.
     """
 
     def __init__(self):
         self.random = random.Random(1)
 
     def __call__(self, candidates: list[TargetState]) -> list[TargetState]:
-        """Return the candidates by expected time; equal ones in random order."""
+        """Sort the candidates by expected duration, ties in random order."""
         shuffled = self.random.sample(candidates, len(candidates))
         return sorted(shuffled, key=lambda state: state.expected_s)
 
@@ -184,15 +198,18 @@
     Parameters
     ----------
     holdings : Holdings
-        Where this VM's parts of slots are.
+        This VM's parts of the slot budgets.
     order : TargetOrder, optional
-        Which of several targets with room to prefer.
+        Order of preference among targets with free slots.
 
     Attributes
     ----------
     states : dict of str to TargetState
+        State by name of the target.
     service_time : dict of str to float
-        Measured seconds in a slot, by pool.
+        Moving average of the measured service time in seconds, by pool.
+    drained : set of str
+        Targets that an operator drains, alone or with their failure domain.
     """
 
     def __init__(self, holdings: Holdings, order: "TargetOrder | None" = None):
@@ -205,7 +222,7 @@
         self._is_first_document = True
 
     def update_document(self, in_force: InForce):
-        """Take over the targets of a document that came into force."""
+        """Update the targets when a new document comes into force."""
         document = in_force.document
         states = {}
         for target in document.targets:
@@ -214,8 +231,8 @@
             if state is None or state.target.address != target.address:
                 state = TargetState(target, pool)
                 if self._is_first_document:
-                    # A VM that has just started knows nothing of how warm the
-                    # targets are; it is the VM that is new, not all of them.
+                    # A VM that has just started does not know whether the targets
+                    # are warm. Only the VM is new, so the targets count as warm.
                     state.ramp_started_at -= pool.ramp_s
             state.target, state.pool = target, pool
             state.part = self.holdings.parts.get(SLOTS_PREFIX + target.name)
@@ -245,11 +262,12 @@
         return self._by_pool.get(pool, [])
 
     def usable(self, pool: str, failure_domain: str) -> list[TargetState]:
-        """Return the targets that may get new work, in one failure domain.
+        """Return the targets of a failure domain that may get new requests.
 
-        When more than half of those that are not leaving seem broken, the
-        alarm is more likely false than all of them dead: all stay in use. One
-        that accepts no connection is no alarm but a fact, and is left out.
+        If more than half of the targets that are not draining seem unhealthy, a
+        false alarm is more likely than that many broken targets, so all of them
+        stay in use. A target that refuses connections is certainly unusable and is
+        always left out.
         """
         candidates = [
             state
@@ -272,18 +290,18 @@
         exclusive: bool = False,
         allow_slow: bool = True,
     ) -> TargetState | None:
-        """Take a slot of the least loaded target that has one, if any has.
+        """Take a free slot of the preferred target, or return None.
 
         Parameters
         ----------
         pool, failure_domain : str
         excluded : set of str
-            Targets not to use.
+            Names of targets that must not be used.
         exclusive : bool
-            Whether the request is under suspicion of killing targets, and must
-            not share one with another that is.
+            Whether the request is suspected of crashing targets. Its target must
+            not run another suspected request at the same time.
         allow_slow : bool
-            Whether a slow target will do.
+            Whether slow targets may be used.
         """
         candidates = [
             state
@@ -300,7 +318,7 @@
         return None
 
     def is_slow(self, state: TargetState) -> bool:
-        """Tell whether a target takes several times as long as its pool."""
+        """Return whether a target is much slower than the average of its pool."""
         usual_s = self.service_time.get(state.pool.name, state.pool.service_time_s)
         return state.expected_s > SLOW_FACTOR * usual_s * (1.0 + state.load)
 
@@ -312,13 +330,19 @@
         return state.part.in_use + len(state.part.lent) < allowed
 
     def note_connect_refused(self, name: str):
-        """Note that a target accepted no connection."""
+        """Record that a target refused a connection."""
         state = self.states.get(name)
         if state is not None:
             state.refused_until = trio.current_time() + CONNECT_REFUSED_S
 
     def note_failure(self, name: str) -> bool:
-        """Note that a request found a target broken; return whether it is out."""
+        """Record that a request failed because of a target.
+
+        Returns
+        -------
+        bool
+            Whether this failure caused an ejection.
+        """
         state = self.states.get(name)
         if state is None:
             return False
@@ -331,33 +355,33 @@
         return True
 
     def eject(self, name: str, seconds: float):
-        """Keep new work from a target for a while."""
+        """Send no new requests to a target for a number of seconds."""
         state = self.states.get(name)
         if state is not None:
             state.ejected_until = trio.current_time() + seconds
-            # It comes back with one slot at first and is warmed up.
+            # After the ejection the target starts with one slot and warms up.
             state.ramp_started_at = state.ejected_until
 
-    def note_probe(self, name: str, news: ProbeResult):
-        """Take in what a prober found."""
+    def note_probe(self, name: str, result: ProbeResult):
+        """Record the result of a health check, made by this VM or another one."""
         state = self.states.get(name)
         if state is None:
             return
         now = trio.current_time()
         was_unhealthy = state.probe is not None and not state.probe.healthy
-        if was_unhealthy and news.healthy:
+        if was_unhealthy and result.healthy:
             state.restart_ramp()
-        state.probe, state.probe_at = news, now
-        if news.draining:
+        state.probe, state.probe_at = result, now
+        if result.draining:
             state.draining_at = now
 
     def note_service_time(self, pool: str, seconds: float):
-        """Take a measured time in a slot into the pool's average."""
+        """Add a measured service time to the moving average of a pool."""
         known = self.service_time.get(pool, seconds)
         self.service_time[pool] = known + (seconds - known) * POOL_TIME_WEIGHT
 
     def capacity(self, pool: Pool, failure_domain: str) -> float:
-        """Return the requests a second that a domain's usable targets can run."""
+        """Return the requests per second that a domain's usable targets can run."""
         seconds = self.service_time.get(pool.name, pool.service_time_s)
         slots = sum(
             pool.slots * state.ramp_fraction
