--- a/packages/entry/plantainshed_entry/admission.py
+++ b/packages/entry/plantainshed_entry/admission.py
@@ -1,4 +1,4 @@
-"""Whose a request is, and whether it may run: key, withdrawal, rate."""
+"""Admission of requests: authentication by key, withdrawn keys and rate limits."""
 
 from typing import Protocol
 
@@ -23,17 +23,17 @@
 
 @frozen
 class Admitted:
-    """Whose a request is."""
+    """The workspace and the key that a request was authenticated with."""
 
     workspace: Workspace
     key_id: str
 
 
 class RateLimiter(Protocol):
-    """Says whether one more request is within a budget of the whole fleet."""
+    """Limits the rate of requests across the whole fleet."""
 
     async def take(self, name: str) -> bool:
-        """Take one token of a rate budget."""
+        """Take one token from a rate budget; return False if there is none."""
 
 
 class Admission:
@@ -42,7 +42,7 @@
     Parameters
     ----------
     rumors : RumorBook
-        Withdrawn keys arrive as rumors, before the document.
+        Rumors report withdrawn keys before the new document arrives.
     limiter : RateLimiter
     metrics : Metrics
 
@@ -50,7 +50,7 @@
     ----------
     in_force : InForce
     outside_heard_at : float
-        When this failure domain last had any path to the rest.
+        When this failure domain last received anything from outside.
     """
 
     def __init__(self, rumors: RumorBook, limiter: RateLimiter, metrics: Metrics):
@@ -61,7 +61,7 @@
         self.outside_heard_at = trio.current_time()
 
     def authenticate(self, head: RequestHead) -> Admitted:
-        """Return whose key a request carries, or raise `Refusal`."""
+        """Return the workspace and key of a request, or raise `Refusal`."""
         text = head.header(b"authorization") or ""
         if not text.lower().startswith(BEARER):
             raise Refusal(
@@ -78,14 +78,14 @@
         return Admitted(workspace, key.key_id)
 
     def is_withdrawn(self, key_id: str) -> bool:
-        """Tell whether a key was withdrawn, by a rumor or in the document."""
+        """Return whether a key was withdrawn, by a rumor or in the document."""
         if self.rumors.knows(KEY_WITHDRAWN_TOPIC, key_id):
             return True
         return key_id in self.in_force.withdrawn_keys
 
     def _check_offline_limit(self, workspace: Workspace):
-        # In a failure domain that nothing reaches, a withdrawal cannot arrive.
-        # Keys go on working there for as long as the document allows.
+        # A failure domain that is cut off does not learn of withdrawn keys. Its
+        # keys stay valid only for the time that the document allows.
         silence_s = trio.current_time() - self.outside_heard_at
         if silence_s < OFFLINE_AFTER_S:
             return
@@ -99,7 +99,7 @@
         self.metrics.offline_uses.inc({"workspace": workspace.name})
 
     async def spend_rate(self, workspace: Workspace):
-        """Take one request out of the workspace's rate, or raise `Refusal`."""
+        """Take one token from the workspace's rate limit, or raise `Refusal`."""
         if await self.limiter.take(WORKSPACE_PREFIX + workspace.name):
             return
         wait_s = 1.0 / workspace.rate if workspace.rate else MAX_RETRY_AFTER_S
--- a/packages/entry/plantainshed_entry/attempts.py
+++ b/packages/entry/plantainshed_entry/attempts.py
@@ -1,7 +1,7 @@
-"""Sending a request to targets until one answers, or nothing more may be tried.
+"""Attempts and retries of a request at targets.
 
-Another attempt is made only where nothing can have run, or where running twice
-does no harm, and then within the retry budget and the deadline.
+A request is retried only if it cannot have run, or if it is idempotent, and only within
+the retry budget and the deadline.
 """
 
 from collections.abc import Awaitable, Callable
@@ -26,7 +26,7 @@
 
 
 class Attempts:
-    """Carries a request to a target, and to others when that is allowed.
+    """Sends a request to a target and retries at other targets where allowed.
 
     Parameters
     ----------
@@ -35,7 +35,7 @@
     poison : PoisonTracker
     metrics : Metrics
     relay : callable
-        Runs one attempt at one target; raises `AttemptFailed`.
+        Runs one attempt at one target; raises `AttemptFailed` if it fails.
     """
 
     def __init__(
@@ -54,12 +54,12 @@
         self.budget = RetryBudget()
 
     async def run(self, call: Call):
-        """Have a request answered by a target, or raise `Refusal`."""
+        """Relay a request to a target until it is answered, or raise `Refusal`."""
         try:
             await self._run(call)
         except Refusal as refusal:
-            # The last attempt may not have run, or never have begun, and still
-            # an earlier one may have: "not run" would be false.
+            # An earlier attempt may have run even if the last one did not run or
+            # was never started, so the outcome "not run" would be wrong.
             if call.may_have_run:
                 refusal.outcome = Outcome.UNKNOWN
             raise
@@ -119,7 +119,7 @@
                 self.targets.note_connect_refused(state.target.name)
 
     def _retry_reason(self, call: Call, failure: AttemptFailed):
-        """Return why another attempt may be made, None if none may."""
+        """Return the reason for a retry, or None if no retry is allowed."""
         exchange = call.exchange
         if exchange is not None and (exchange.started or call.body is None):
             return None
@@ -137,7 +137,8 @@
         elif call.is_idempotent:
             reason = RetryReason.IDEMPOTENT
         else:
-            # It may have run. A second run could book a second chair.
+            # The request may have run, and running it again could have its effect
+            # twice, for example a second booking.
             return None
         return reason if self.budget.try_spend() else None
 
--- a/packages/entry/plantainshed_entry/relay.py
+++ b/packages/entry/plantainshed_entry/relay.py
@@ -1,8 +1,8 @@
-"""Carrying one request to one target and its answer back, over HTTP.
+"""Relaying of one request to one target over HTTP, and of the response back.
 
-Both directions stream; what is buffered is one piece at a time. The key never
-leaves the daemon, and the deadline and the caller's leaving stop the target's
-work by closing its connection.
+Bodies are streamed in both directions, one chunk at a time. The caller's key is never
+sent to a target. When the deadline passes or the caller disconnects, the connection to
+the target is closed, so that the target stops its work.
 """
 
 import contextlib
@@ -47,8 +47,8 @@
 )
 NOT_RUN_HEADER = b"plantainshed-not-run"
 LOAD_HEADER = b"plantainshed-load"
-# Stricter than `isdigit`, which is also true of digits that `float` raises on,
-# and short enough to be finite: an error there would end the process.
+# `str.isdigit` also accepts digits that `float` rejects, and an unhandled error would
+# end the process. The length limit keeps the value finite.
 LOAD_PATTERN = re.compile(r"(?=.?[0-9])[0-9]{0,20}(\.[0-9]{0,20})?")
 DRAINING_HEADER = b"plantainshed-draining"
 IDLE_PER_SLOT = 2
@@ -60,11 +60,11 @@
     Attributes
     ----------
     idle : dict of str to deque of ClientConnection
-        Open connections that carry nothing at present, by address.
+        Idle open connections, by address of the target.
     opened : int
-        Connections opened so far.
+        Number of connections that this relay has tried to open.
     vm_count : callable
-        Number of VMs that may hold connections to the same targets.
+        Returns the number of VMs that may hold connections to the same targets.
     """
 
     def __init__(self):
@@ -75,7 +75,7 @@
     async def run(self, call: Call, state: TargetState):
         """Run one attempt, or raise `AttemptFailed`.
 
-        A request that no target can be sent raises `Refusal`.
+        Raises `Refusal` for a request that cannot be sent to any target.
         """
         connection = await self._acquire(state)
         reusable = False
@@ -107,15 +107,16 @@
         if reusable and len(idle) < self._max_idle(state):
             idle.append(connection)
         else:
-            # Closing is also how a target learns that nobody waits any more.
+            # Closing the connection also tells the target that nobody waits for
+            # the response any more.
             with trio.CancelScope(shield=True):
                 await connection.aclose()
 
     def _max_idle(self, state: TargetState) -> int:
-        """Return how many idle connections to keep to a target.
+        """Return the maximum number of idle connections to a target.
 
-        Half of what the target accepts, divided by all VMs; the other half is
-        for connections in use, of which there are no more than slots.
+        All VMs together may keep half of the connections that the target accepts.
+        The other half is for connections in use, which the slots limit.
         """
         fair_share = state.pool.connections // (2 * max(1, self.vm_count()))
         return min(IDLE_PER_SLOT * state.pool.slots, fair_share)
@@ -133,7 +134,8 @@
             else:
                 await self._stream_both_ways(call, state, connection)
         except UnsendableRequest as error:
-            # The caller's fault, not the target's: it blames and tries no other.
+            # The request itself is invalid, so the target is not blamed and the
+            # request is not retried.
             raise Refusal(Reason.BAD_REQUEST, error.reason) from error
         except ConnectionBroken as error:
             raise AttemptFailed(
@@ -172,7 +174,7 @@
         exchange = call.exchange
         await exchange.start(head.status, _headers_for_caller(call, head.headers))
         if not connection.has_more_at_hand:
-            # The body may come much later; its head is not held back for it.
+            # The body may arrive much later, so the head is sent at once.
             await exchange.flush()
         async for chunk in connection.response_body():
             await exchange.send(chunk)
@@ -187,7 +189,7 @@
 
 @contextlib.asynccontextmanager
 async def open_relay():
-    """Have a relay for the length of a block."""
+    """Open a relay for the duration of a block."""
     relay = HttpRelay()
     try:
         yield relay
@@ -231,7 +233,7 @@
 
 
 def reported_load(head: ResponseHead) -> float | None:
-    """Return the load that a target reports; None if it reports no number."""
+    """Return the load that a target reports, or None without a valid number."""
     text = head.header(LOAD_HEADER)
     if text is None or not LOAD_PATTERN.fullmatch(text):
         return None
