--- a/packages/entry/plantainshed_entry/loads.py
+++ b/packages/entry/plantainshed_entry/loads.py
@@ -1,8 +1,7 @@
-"""What VMs tell each other of load: demand by home domain, and capacity.
+"""Load reports between VMs: demand by home domain, and capacity.
 
-Each VM counts the requests that came to it. A failure domain's VMs exchange
-these counts with their heartbeats; between domains only the domain's sum
-travels, with its summaries.
+Each VM counts the requests that it receives. The VMs of a failure domain exchange these
+counts in heartbeats. Failure domains exchange only their sums, in summaries.
 """
 
 import orjson
@@ -16,14 +15,14 @@
 
 @frozen
 class DomainLoad:
-    """Demand that arrives at a failure domain, and what its targets can run.
+    """Demand that arrives at a failure domain, and the capacity of its targets.
 
     Parameters
     ----------
     capacity : dict of str to float
-        Requests a second, by pool.
+        Requests per second, by pool.
     arrivals : dict of str to dict of str to float
-        Requests a second, by pool and home domain of the callers.
+        Requests per second, by pool and home domain of the callers.
     """
 
     capacity: dict[str, float] = field(factory=dict)
@@ -40,7 +39,7 @@
 
     @classmethod
     def from_bytes(cls, data: bytes) -> "DomainLoad":
-        """Read a load that `to_bytes` wrote."""
+        """Decode a load encoded by `to_bytes`."""
         capacity, arrivals = orjson.loads(data)
         return cls(capacity, arrivals)
 
@@ -48,11 +47,11 @@
 @define
 class _ReceivedLoad:
     load: DomainLoad
-    at: float
+    received_at: float
 
 
 class LoadTracker:
-    """The loads of this VM, of its domain's other VMs, and of other domains.
+    """Tracks the loads of this VM, of its peers, and of other failure domains.
 
     Parameters
     ----------
@@ -67,7 +66,7 @@
         self.domains: dict[str, _ReceivedLoad] = {}
 
     def count_arrival(self, pool: str, home_domain: str):
-        """Count a request that came to this VM."""
+        """Count a request that arrived at this VM."""
         key = (pool, home_domain or self.failure_domain)
         meter = self.meters.get(key)
         if meter is None:
@@ -75,7 +74,7 @@
         meter.add(1)
 
     def own_load(self, capacity: dict[str, float]) -> DomainLoad:
-        """Return this VM's arrivals, with the capacity that it sees."""
+        """Return the arrivals at this VM, with the given capacity."""
         arrivals: dict[str, dict[str, float]] = {}
         for (pool, home), meter in self.meters.items():
             rate = meter.read()
@@ -84,27 +83,33 @@
         return DomainLoad(capacity, arrivals)
 
     def domain_load(self, capacity: dict[str, float]) -> DomainLoad:
-        """Return the sum over this failure domain's VMs."""
+        """Return the sum of the arrivals at all VMs of this failure domain."""
         now = trio.current_time()
         loads = [self.own_load(capacity)]
-        loads += [h.load for h in self.peers.values() if now - h.at < LOAD_TTL_S]
+        loads += [
+            h.load for h in self.peers.values() if now - h.received_at < LOAD_TTL_S
+        ]
         arrivals: dict[str, dict[str, float]] = {}
         for load in loads:
             _add_arrivals(arrivals, load.arrivals)
         return DomainLoad(capacity, arrivals)
 
     def note_peer(self, vm: str, load: DomainLoad):
-        """Take in what another VM of the own domain says."""
+        """Record the load reported by another VM of the own failure domain."""
         self.peers[vm] = _ReceivedLoad(load, trio.current_time())
 
     def note_domain(self, failure_domain: str, load: DomainLoad):
-        """Take in what another failure domain says."""
+        """Record the load reported by another failure domain."""
         self.domains[failure_domain] = _ReceivedLoad(load, trio.current_time())
 
     def all_domains(self, capacity: dict[str, float]) -> dict[str, DomainLoad]:
-        """Return the loads of all domains that were heard lately."""
+        """Return the loads of all failure domains with a recent report."""
         now = trio.current_time()
-        loads = {n: h.load for n, h in self.domains.items() if now - h.at < LOAD_TTL_S}
+        loads = {
+            n: h.load
+            for n, h in self.domains.items()
+            if now - h.received_at < LOAD_TTL_S
+        }
         loads[self.failure_domain] = self.domain_load(capacity)
         return loads
 
--- a/packages/entry/plantainshed_entry/plan.py
+++ b/packages/entry/plantainshed_entry/plan.py
@@ -1,9 +1,9 @@
-"""Where each home domain's callers are sent: the plan, worked out alike by all.
+"""The plan: the distribution of each home domain's callers over failure domains.
 
-The plan depends only on what all VMs learn: the document, capacities, and
-demand by home domain. Demand is counted by where callers come from, not where
-they were sent, so a plan does not feed on its own effects: what was promised
-stays counted at its home until the callers themselves change.
+All VMs compute the same plan, because it depends only on data that all VMs receive: the
+document, capacities, and demand by home domain. Demand is counted at the home domain of
+the callers and not at the domain that they were sent to. Moving callers therefore does
+not change the demand, and a plan does not react to its own effects.
 """
 
 from collections.abc import Mapping
@@ -19,15 +19,15 @@
 
 @frozen
 class PlannedDomain:
-    """A failure domain as the plan sees it.
+    """A failure domain as input of the plan.
 
     Parameters
     ----------
     name, region : str
     capacity : float
-        Requests a second that its targets can run; 0 when it takes none.
+        Requests per second that its targets can run; 0 if it accepts no callers.
     demand : float
-        Requests a second of callers that are near it.
+        Requests per second of the callers whose home domain it is.
     """
 
     name: str
@@ -38,16 +38,16 @@
 
 @frozen
 class PlannedShift:
-    """A shift as the plan sees it.
+    """A shift as input of the plan.
 
     Parameters
     ----------
     from_region, to_region : str
-        In the direction in which it moves now.
+        Regions in the current direction of the shift.
     cap : float
-        Requests a second that may pass between the two regions at all.
+        Limit of all traffic between the two regions in requests per second.
     is_running : bool
-        Whether it moves traffic at present.
+        Whether the shift moves traffic at present.
     """
 
     from_region: str
@@ -61,14 +61,14 @@
 
 @define
 class _Capacity:
-    """Capacity that is not promised yet, by place."""
+    """Unallocated capacity, by failure domain or by pair of regions."""
 
-    left: dict[str, float] = field(factory=dict)
+    remaining: dict[str, float] = field(factory=dict)
 
-    def take(self, place: str, wanted: float) -> float:
-        """Promise up to so much; return how much."""
-        taken = min(wanted, max(0.0, self.left.get(place, 0.0)))
-        self.left[place] = self.left.get(place, 0.0) - taken
+    def allocate(self, key: str, wanted: float) -> float:
+        """Allocate up to the wanted capacity; return the allocated amount."""
+        taken = min(wanted, max(0.0, self.remaining.get(key, 0.0)))
+        self.remaining[key] = self.remaining.get(key, 0.0) - taken
         return taken
 
 
@@ -77,16 +77,17 @@
     shifts: list[PlannedShift],
     link_rate: Mapping[tuple[str, str], float],
 ) -> Shares:
-    """Return, by home domain, the share of callers sent to each domain.
+    """Return the share of callers sent to each domain, by home domain.
 
-    What nobody has room for stays at home, to be refused there.
+    Demand that exceeds all available capacity stays at its home domain and is refused
+    there.
 
     Parameters
     ----------
     domains : mapping of str to PlannedDomain
     shifts : list of PlannedShift
     link_rate : mapping of (str, str) to float
-        Requests a second that the link between two regions may carry.
+        Capacity of the link between two regions in requests per second.
     """
     domain_capacity = _Capacity(
         {name: p.capacity * MAX_UTILIZATION for name, p in domains.items()}
@@ -95,63 +96,71 @@
         {pair: rate * LINK_FRACTION for pair, rate in link_rate.items()}
     )
     for shift in shifts:
-        # Whatever crosses between its regions is under the shift's cap, also
-        # what overflows: the link is narrowed to it.
+        # The cap of a shift limits all traffic between its regions, including
+        # overflow, so the capacity of the link is reduced to the cap.
         pair = _region_pair(shift.from_region, shift.to_region)
-        capped = min(link_capacity.left.get(pair, 0.0), shift.cap * CAP_FRACTION)
-        link_capacity.left[pair] = capped
+        capped = min(link_capacity.remaining.get(pair, 0.0), shift.cap * CAP_FRACTION)
+        link_capacity.remaining[pair] = capped
     rates: Shares = {name: {} for name in domains}
-    left = {name: place.demand for name, place in domains.items()}
-    _apply_shifts(domains, shifts, domain_capacity, link_capacity, rates, left)
+    unassigned = {name: domain.demand for name, domain in domains.items()}
+    _apply_shifts(domains, shifts, domain_capacity, link_capacity, rates, unassigned)
     for name in sorted(domains):
-        _assign(rates, left, name, name, domain_capacity.take(name, left[name]))
+        _assign(
+            rates,
+            unassigned,
+            name,
+            name,
+            domain_capacity.allocate(name, unassigned[name]),
+        )
     for name in sorted(domains):
         for other in _others_by_distance(domains, name):
-            if left[name] <= EPSILON:
+            if unassigned[name] <= EPSILON:
                 break
             _assign_overflow(
-                domains, domain_capacity, link_capacity, rates, left, name, other
+                domains, domain_capacity, link_capacity, rates, unassigned, name, other
             )
     return {name: _shares(domains[name], rates[name]) for name in domains}
 
 
-def _apply_shifts(domains, shifts, domain_capacity, link_capacity, rates, left):
+def _apply_shifts(domains, shifts, domain_capacity, link_capacity, rates, unassigned):
     for shift in shifts:
         sources = [p for p in domains.values() if p.region == shift.from_region]
         destinations = [p for p in domains.values() if p.region == shift.to_region]
-        demand = sum(place.demand for place in sources)
-        capacity = sum(place.capacity for place in destinations)
+        demand = sum(domain.demand for domain in sources)
+        capacity = sum(domain.capacity for domain in destinations)
         if demand <= 0 or capacity <= 0 or not shift.is_running:
             continue
         moved = min(shift.cap * CAP_FRACTION, demand)
         for source in sources:
-            for goal in destinations:
-                rate = moved * source.demand / demand * goal.capacity / capacity
-                given = link_capacity.take(_pair(source, goal), rate)
-                given = domain_capacity.take(goal.name, given)
-                _assign(rates, left, source.name, goal.name, given)
+            for destination in destinations:
+                rate = moved * source.demand / demand * destination.capacity / capacity
+                given = link_capacity.allocate(_pair(source, destination), rate)
+                given = domain_capacity.allocate(destination.name, given)
+                _assign(rates, unassigned, source.name, destination.name, given)
 
 
-def _assign_overflow(domains, domain_capacity, link_capacity, rates, left, name, other):
+def _assign_overflow(
+    domains, domain_capacity, link_capacity, rates, unassigned, name, other
+):
     here, there = domains[name], domains[other]
-    wanted = min(left[name], max(0.0, domain_capacity.left[other]))
+    wanted = min(unassigned[name], max(0.0, domain_capacity.remaining[other]))
     if here.region != there.region:
-        wanted = link_capacity.take(_pair(here, there), wanted)
-    _assign(rates, left, name, other, domain_capacity.take(other, wanted))
+        wanted = link_capacity.allocate(_pair(here, there), wanted)
+    _assign(rates, unassigned, name, other, domain_capacity.allocate(other, wanted))
 
 
-def _assign(rates, left, name, other, rate):
+def _assign(rates, unassigned, name, other, rate):
     if rate > EPSILON:
         rates[name][other] = rates[name].get(other, 0.0) + rate
-        left[name] -= rate
+        unassigned[name] -= rate
 
 
 def _others_by_distance(domains, name) -> list[str]:
-    """Return other domains, those of the same region first, roomiest first."""
+    """Return the other domains: own region first, then by descending capacity."""
     region = domains[name].region
-    others = [place for place in domains.values() if place.name != name]
+    others = [domain for domain in domains.values() if domain.name != name]
     order = sorted(others, key=lambda p: (p.region != region, -p.capacity, p.name))
-    return [place.name for place in order]
+    return [domain.name for domain in order]
 
 
 def _pair(here: PlannedDomain, there: PlannedDomain) -> tuple[str, str]:
@@ -163,22 +172,22 @@
     return first, second
 
 
-def _shares(place: PlannedDomain, rates: dict[str, float]) -> dict[str, float]:
-    if place.demand <= EPSILON:
-        return {place.name: 1.0}
-    shares = {name: rate / place.demand for name, rate in rates.items()}
+def _shares(domain: PlannedDomain, rates: dict[str, float]) -> dict[str, float]:
+    if domain.demand <= EPSILON:
+        return {domain.name: 1.0}
+    shares = {name: rate / domain.demand for name, rate in rates.items()}
     rest = 1.0 - sum(shares.values())
     if rest > EPSILON:
-        shares[place.name] = shares.get(place.name, 0.0) + rest
+        shares[domain.name] = shares.get(domain.name, 0.0) + rest
     return shares
 
 
 def step_towards_plan(before: dict[str, float], goal: dict[str, float], home: str):
-    """Return shares on the way from one plan to the next.
+    """Return the shares for the next step from the current plan to a new one.
 
-    What leaves home does so at once: it is needed elsewhere. What comes back
-    is taken in a step at a time, since caches there are cold and the
-    measurement of what arrives lags behind.
+    Callers leave their home domain at once, because they need the capacity elsewhere.
+    They return in steps of at most `MAX_RETURN_STEP`, because caches at home are cold
+    and the measured load lags behind.
     """
     if not before:
         return goal
--- a/packages/entry/plantainshed_entry/poison.py
+++ b/packages/entry/plantainshed_entry/poison.py
@@ -1,11 +1,10 @@
-"""Requests that kill the targets that run them, stopped after few.
-
-A request in flight when its target dies is marked, by a fingerprint of method,
-path, workspace and body. From then on it runs only where no other marked one
-does. If
-`ISOLATED_CRASHES_TO_BLOCK` more targets die of it there, it is refused on every VM
-for a while.
-Requests that only happened to be there are cleared by their first success.
+"""Detection of poison requests: requests that crash the targets that run them.
+
+When a target crashes, every request in flight on it becomes a suspect, identified by a
+fingerprint of method, path, workspace and body. From then on it runs only on targets
+that run no other suspect. If `ISOLATED_CRASHES_TO_BLOCK` more targets crash while they
+run it in this isolation, every VM refuses it for a while. A suspect that is answered is cleared, because
+it only happened to be running when a target crashed for another reason.
 """
 
 import trio
@@ -27,7 +26,7 @@
 def compute_fingerprint(
     workspace: str, method: str, path: str, body: bytes | None
 ) -> str:
-    """Return what recognises the same request when it is sent again."""
+    """Return a hash that identifies a request when it is repeated."""
     digest = xxhash.xxh3_128()
     for part in (workspace, method, path):
         digest.update(part.encode() + b"\x00")
@@ -36,7 +35,7 @@
 
 
 class PoisonTracker:
-    """Which fingerprints are under suspicion, and which are stopped."""
+    """Records which requests crashed which targets, shared by rumors."""
 
     def __init__(self, rumors: RumorBook):
         self.rumors = rumors
@@ -45,7 +44,7 @@
         rumors.listeners[CLEAR_TOPIC] = self._on_clear
 
     def note_crash(self, fingerprint: str, target: str, isolated: bool):
-        """Note that a target died while it ran a request.
+        """Record that a target crashed while it ran a request.
 
         Parameters
         ----------
@@ -53,7 +52,7 @@
             The request's fingerprint.
         target : str
         isolated : bool
-            Whether it ran there as a marked one, away from all others.
+            Whether the request ran as a suspect, apart from other suspects.
         """
         if self.rumors.knows(CLEAR_TOPIC, fingerprint):
             return
@@ -62,20 +61,21 @@
         self.rumors.publish(CRASH_TOPIC, name, ttl_s=CRASH_TTL_S)
 
     def note_success(self, fingerprint: str):
-        """Note that a request was answered: it is not what kills targets."""
+        """Clear a suspect that was answered, as it does not crash targets."""
         if fingerprint in self.crashes:
             self.rumors.publish(CLEAR_TOPIC, fingerprint, ttl_s=CLEAR_TTL_S)
 
     def is_suspect(self, fingerprint: str) -> bool:
-        """Tell whether a target died while it ran such a request."""
+        """Return whether a target crashed while it ran this request."""
         return bool(self._recent_crashes(fingerprint))
 
     def is_blocked(self, fingerprint: str) -> bool:
-        """Tell whether such requests are refused for now.
+        """Return whether this request is refused for now.
 
-        A popular request can be in several targets when they die of others;
-        what counts are deaths that it was isolated for. One of those can still be
-        another's fault, of a killer that was not marked yet.
+        A popular request can be running on several targets when another request
+        crashes them, so only crashes during isolated runs count. One such crash is
+        not enough, because a poison request that was not a suspect yet can have
+        caused it.
         """
         isolated = [
             target
@@ -85,7 +85,7 @@
         return len(isolated) >= ISOLATED_CRASHES_TO_BLOCK
 
     def crashed_targets(self, fingerprint: str) -> set[str]:
-        """Return the targets that died while they ran such a request."""
+        """Return the targets that crashed while they ran this request."""
         return {target for _, target in self._recent_crashes(fingerprint)}
 
     def _recent_crashes(self, fingerprint: str) -> dict[tuple[str, str], float]:
@@ -93,12 +93,12 @@
         if not crashes:
             return {}
         now = trio.current_time()
-        fresh = {death: until for death, until in crashes.items() if until > now}
-        if fresh:
-            self.crashes[fingerprint] = fresh
+        recent = {crash: until for crash, until in crashes.items() if until > now}
+        if recent:
+            self.crashes[fingerprint] = recent
         else:
             del self.crashes[fingerprint]
-        return fresh
+        return recent
 
     def _on_crash(self, name: str, rumor: HeardRumor):
         fingerprint, how, target = name.split(SEPARATOR)
