--- a/packages/entry/plantainshed_entry/call.py
+++ b/packages/entry/plantainshed_entry/call.py
@@ -1,4 +1,4 @@
-"""A caller's request on its way through the daemon."""
+"""State of a caller's request while the daemon processes it."""
 
 import trio
 from attrs import define, field
@@ -11,30 +11,30 @@
 
 @define
 class Call:
-    """One request, admitted or about to be.
+    """A request that is admitted or being admitted.
 
     Parameters
     ----------
     request_id : str
-        For logs and for the caller.
+        Identifies the request in logs and to the caller.
     method, path : str
     workspace : str
     key_id : str
-        Public part of the key that it carried.
+        Public part of the key that the request carries.
     pool : Pool
     home_domain : str
-        Failure domain that the caller's block is near; empty if unknown.
+        Failure domain that is nearest to the caller's block; empty if unknown.
     deadline : float
-        When the caller stops waiting, by this process's clock.
+        When the caller stops waiting, in the time of this process's clock.
     operation : OperationId, optional
     body : bytes or None
-        The whole body when it is small enough to be sent again.
+        The whole body if it is small enough to be sent again.
     exchange : Exchange or None
         The caller's connection.
     may_have_run : bool
-        Whether an earlier attempt ended without saying whether it ran.
+        Whether an attempt failed without a known outcome.
     counted_shift : str
-        Shift under whose cap it was counted.
+        Name of the shift whose cap the request was counted against.
     """
 
     request_id: str
@@ -57,10 +57,10 @@
 
     @property
     def is_idempotent(self) -> bool:
-        """Whether running it twice does no harm, by its method."""
+        """Whether the method is idempotent, so that running it twice is harmless."""
         return self.method in IDEMPOTENT_METHODS
 
     @property
     def seconds_left(self) -> float:
-        """Time until the deadline."""
+        """Seconds until the deadline."""
         return self.deadline - trio.current_time()
--- a/packages/entry/plantainshed_entry/probing.py
+++ b/packages/entry/plantainshed_entry/probing.py
@@ -1,8 +1,7 @@
-"""Health checks of targets: one prober for each target, its findings shared.
+"""Health checks of targets, with one prober per target.
 
-A probe takes a target's time, so that each target is probed by just one VM of
-its failure domain, chosen by rendezvous hashing. The others learn what it
-found from its heartbeats.
+Probes put load on a target, so only one VM of its failure domain probes it. The VM is
+chosen by rendezvous hashing and sends the results to the other VMs in its heartbeats.
 """
 
 from collections.abc import Awaitable, Callable
@@ -21,21 +20,21 @@
 
 
 class Probing:
-    """Probes the targets that fall to this VM.
+    """Probes the targets that are assigned to this VM.
 
     Parameters
     ----------
     membership : Membership
     targets : TargetTable
     probe : callable
-        Checks one target; never raises for a broken one.
+        Checks one target; returns an unhealthy result instead of raising an error.
 
     Attributes
     ----------
     results : dict of str to ProbeResult
-        What this VM found, to be shared.
+        Latest results of this VM by target, sent to other VMs.
     probes : int
-        How often this VM probed.
+        Number of probes that this VM has started.
     """
 
     def __init__(self, membership: Membership, targets: TargetTable, probe: Probe):
@@ -46,16 +45,16 @@
         self.probes = 0
 
     async def run(self):
-        """Probe until cancelled."""
+        """Probe the assigned targets periodically until cancelled."""
         async with trio.open_nursery() as nursery:
             while True:
-                mine = self._own_targets()
-                self.results = {n: f for n, f in self.results.items() if n in mine}
-                for state in mine.values():
+                assigned = self._assigned_targets()
+                self.results = {n: r for n, r in self.results.items() if n in assigned}
+                for state in assigned.values():
                     nursery.start_soon(self._probe_one, state)
                 await trio.sleep(PROBE_PERIOD_S)
 
-    def _own_targets(self) -> dict[str, TargetState]:
+    def _assigned_targets(self) -> dict[str, TargetState]:
         identity = self.membership.identity
         live = self.membership.live_in_domain(identity.failure_domain)
         return {
@@ -67,8 +66,8 @@
 
     async def _probe_one(self, state: TargetState):
         self.probes += 1
-        news = ProbeResult(healthy=False, draining=False, load=0.0)
+        result = ProbeResult(healthy=False, draining=False, load=0.0)
         with trio.move_on_after(PROBE_TIMEOUT_S):
-            news = await self.probe(state)
-        self.results[state.target.name] = news
-        self.targets.note_probe(state.target.name, news)
+            result = await self.probe(state)
+        self.results[state.target.name] = result
+        self.targets.note_probe(state.target.name, result)
--- a/packages/entry/plantainshed_entry/recorded_answers.py
+++ b/packages/entry/plantainshed_entry/recorded_answers.py
@@ -1,4 +1,4 @@
-"""Answers kept for callers who repeat an operation."""
+"""Recording of answers, to be replayed when a caller repeats an operation."""
 
 import orjson
 from attrs import frozen
@@ -9,20 +9,20 @@
 
 @frozen
 class RecordedAnswer:
-    """An answer kept for repeats of an operation."""
+    """An answer that is replayed when its operation is repeated."""
 
     status: int
     headers: list
     body: bytes
 
     def to_bytes(self) -> bytes:
-        """Return the answer as bytes."""
+        """Encode the answer."""
         headers = [[n.decode("latin-1"), v.decode("latin-1")] for n, v in self.headers]
         return orjson.dumps([self.status, headers]) + b"\n" + self.body
 
     @classmethod
     def from_bytes(cls, data: bytes) -> "RecordedAnswer":
-        """Read an answer that `to_bytes` wrote."""
+        """Decode an answer encoded by `to_bytes`."""
         head, _, body = data.partition(b"\n")
         status, headers = orjson.loads(head)
         pairs = [(n.encode("latin-1"), v.encode("latin-1")) for n, v in headers]
@@ -30,7 +30,7 @@
 
 
 class AnswerRecorder:
-    """Passes an answer on to the caller and keeps a copy, if it is small."""
+    """Forwards an answer to the caller and keeps a copy if it is small."""
 
     def __init__(self, exchange: Exchange):
         self.exchange = exchange
@@ -44,7 +44,7 @@
 
     @property
     def started(self) -> bool:
-        """Whether the caller has been sent anything."""
+        """Whether any part of the answer has been sent to the caller."""
         return self.exchange.started
 
     def body(self):
@@ -59,25 +59,25 @@
         await self.exchange.start(status, headers)
 
     async def send(self, chunk: bytes):
-        """Send a piece of the answer."""
+        """Send a chunk of the answer."""
         self.size += len(chunk)
         if self.size <= MAX_ANSWER_BYTES:
             self.parts.append(chunk)
         await self.exchange.send(chunk)
 
     async def flush(self):
-        """Send what has not left yet."""
+        """Send all buffered data."""
         await self.exchange.flush()
 
     async def finish(self):
         """End the answer."""
-        # The whole answer is known from here on, also if its caller leaves
-        # before the last of it has been sent.
+        # The answer is complete even if the caller disconnects before all of it has
+        # been sent.
         self.is_complete = True
         await self.exchange.finish()
 
     def to_bytes(self) -> bytes | None:
-        """Return the answer for the book of operations; None if too large."""
+        """Encode the answer for the operation registry; None if it is too large."""
         if self.size > MAX_ANSWER_BYTES:
             return None
         body = b"".join(self.parts)
--- a/packages/entry/plantainshed_entry/retry_budget.py
+++ b/packages/entry/plantainshed_entry/retry_budget.py
@@ -1,6 +1,7 @@
-"""How many further attempts a VM may make, as a share of its requests.
+"""Retry budget: limits the retries of a VM to a fraction of its requests.
 
-Without it, targets that fail get twice the load just when they can take least.
+Without this limit, retries would double the load on failing targets just when they can
+handle the least.
 """
 
 from attrs import define
@@ -11,16 +12,16 @@
 
 @define
 class RetryBudget:
-    """Earned by requests, spent by further attempts."""
+    """Token bucket that requests fill and retries empty."""
 
     tokens: float = MAX_TOKENS
 
     def deposit(self):
-        """Count a request."""
+        """Add the tokens for one request."""
         self.tokens = min(MAX_TOKENS, self.tokens + RETRY_SHARE)
 
     def try_spend(self) -> bool:
-        """Spend one further attempt if one is left."""
+        """Take the token for one retry; return False if there is none."""
         if self.tokens < 1.0:
             return False
         self.tokens -= 1.0
--- a/packages/entry/plantainshed_entry/slot_queue.py
+++ b/packages/entry/plantainshed_entry/slot_queue.py
@@ -1,7 +1,7 @@
-"""Requests that wait for a slot, served fairly by workspace.
+"""Fair queue of requests that wait for a slot.
 
-A workspace with many waiting requests gets no more turns than one with a
-single request: waiting ones are taken round robin over the workspaces.
+Waiting requests are served round robin over the workspaces, so that a workspace with
+many waiting requests cannot delay a workspace with few.
 """
 
 from collections import OrderedDict, deque
@@ -10,11 +10,12 @@
 
 
 class SlotQueue:
-    """The requests that wait for a slot of one pool.
+    """Queue of the requests that wait for a slot of one pool.
 
     Attributes
     ----------
     length : int
+        Number of waiting requests.
     """
 
     def __init__(self):
@@ -22,39 +23,39 @@
         self._waiting: OrderedDict[str, deque[trio.Event]] = OrderedDict()
 
     async def wait(self, workspace: str, seconds: float) -> bool:
-        """Wait for a turn; False when the time was over first."""
-        turn = trio.Event()
-        self._waiting.setdefault(workspace, deque()).append(turn)
+        """Wait to be woken; return False if the time runs out first."""
+        woken = trio.Event()
+        self._waiting.setdefault(workspace, deque()).append(woken)
         self.length += 1
         try:
             with trio.move_on_after(max(0.0, seconds)):
-                await turn.wait()
-            return turn.is_set()
+                await woken.wait()
+            return woken.is_set()
         except trio.Cancelled:
-            # The caller left just as its turn came. Kept, the turn would be
-            # lost and everyone behind it would wait beside a free slot.
-            if turn.is_set():
+            # The request was woken and cancelled at the same time. Wake the next one
+            # instead, or all others would go on waiting although a slot is free.
+            if woken.is_set():
                 self.wake_next()
             raise
         finally:
-            self._remove(workspace, turn)
+            self._remove(workspace, woken)
 
     def wake_next(self):
-        """Give the next workspace in the round its turn."""
+        """Wake the first waiting request of the next workspace."""
         while self._waiting:
-            workspace, turns = self._waiting.popitem(last=False)
-            turn = turns.popleft()
+            workspace, waiting = self._waiting.popitem(last=False)
+            woken = waiting.popleft()
             self.length -= 1
-            if turns:
-                self._waiting[workspace] = turns
-            turn.set()
+            if waiting:
+                self._waiting[workspace] = waiting
+            woken.set()
             return
 
-    def _remove(self, workspace: str, turn: trio.Event):
-        turns = self._waiting.get(workspace)
-        if turns is None or turn not in turns:
+    def _remove(self, workspace: str, woken: trio.Event):
+        waiting = self._waiting.get(workspace)
+        if waiting is None or woken not in waiting:
             return
-        turns.remove(turn)
+        waiting.remove(woken)
         self.length -= 1
-        if not turns:
+        if not waiting:
             del self._waiting[workspace]
