--- a/packages/entry/plantainshed_entry/poison.py
+++ b/packages/entry/plantainshed_entry/poison.py
@@ -3,8 +3,9 @@
 When a target crashes, every request in flight on it becomes a suspect, identified by a
 fingerprint of method, path, workspace and body. From then on it runs only on targets
 that run no other suspect. If `ISOLATED_CRASHES_TO_BLOCK` more targets crash while they
-run it in this isolation, every VM refuses it for a while. A suspect that is answered is cleared, because
-it only happened to be running when a target crashed for another reason.
+run it in isolation, every VM refuses it for a while. A suspect that is answered is
+cleared, because it only happened to be running when a target crashed for another
+reason.
 """
 
 import trio
