--- a/tests/entry/test_node.py
+++ b/tests/entry/test_node.py
@@ -1,4 +1,4 @@
-"""Several whole nodes in memory: keys, poison, targets, operations."""
+"""Several complete nodes in memory: keys, poison, targets, operations."""
 
 import contextlib
 import unittest
@@ -61,11 +61,11 @@
 
 class TestKeys(unittest.TestCase):
     @on_mock_clock
-    async def test_withdrawal_cuts_what_runs_and_stops_what_follows(self):
-        """A dismissed clerk's program goes on reading for minutes.
+    async def test_withdrawn_key_cancels_running_requests_and_refuses_new_ones(self):
+        """A withdrawn key must not stay usable for minutes.
 
-        Its requests run or wait when the key is withdrawn at another VM, and
-        its connection stays open.
+        The requests are running or waiting when the key is withdrawn on another
+        VM, and the connection of the caller stays open.
         """
         async with running_rig() as rig:
             responses = []
@@ -85,7 +85,7 @@
                 self.assertEqual(reason_of(response), Reason.KEY_WITHDRAWN)
 
     @on_mock_clock
-    async def test_isolated_domain_serves_known_keys_for_a_limit(self):
+    async def test_isolated_domain_accepts_known_keys_up_to_the_offline_limit(self):
         async with running_rig() as rig:
             rig.isolated.add("ven-a")
             await trio.sleep(60)
@@ -100,7 +100,7 @@
             self.assertEqual(response.status, 200)
 
     @on_mock_clock
-    async def test_paused_vm_refuses_until_it_has_heard_from_others(self):
+    async def test_paused_vm_refuses_requests_until_it_has_heard_from_others(self):
         async with running_rig() as rig:
             membership = rig.vms["mil-a-1"].node.membership
             membership.last_tick -= 10
@@ -113,11 +113,11 @@
 
 class TestPoison(unittest.TestCase):
     @on_mock_clock
-    async def test_request_that_kills_targets_is_stopped_after_three(self):
-        """A whole pool is down because one caller repeats one request.
+    async def test_poison_request_is_blocked_after_three_crashes(self):
+        """One repeated request must not take down a whole pool.
 
-        Each target that runs it dies; the caller sends it again, to other
-        VMs, each of which picks the next healthy target.
+        Each target that runs the request crashes. The caller repeats it at other
+        VMs, and each VM would choose the next healthy target.
         """
         async with running_rig() as rig:
             for turn in range(8):
@@ -129,11 +129,11 @@
             self.assertLessEqual(len(dead), 3)
 
     @on_mock_clock
-    async def test_neighbours_of_a_killer_are_not_blamed(self):
-        """A popular page is refused for minutes.
+    async def test_requests_beside_a_poison_request_are_not_blocked(self):
+        """A popular page must not be refused for minutes.
 
-        It was being read from targets that died of another request. Its own
-        next success must clear it.
+        Its requests were running on targets that another request crashed. The
+        next successful request for the page must clear it.
         """
         async with running_rig() as rig:
             async with trio.open_nursery() as nursery:
@@ -149,12 +149,12 @@
 
 class TestAttempts(unittest.TestCase):
     @on_mock_clock
-    async def test_not_run_speaks_of_all_attempts(self):
-        """A caller is told "not run" of a request that a target has run.
+    async def test_outcome_covers_all_attempts(self):
+        """The outcome must not be "not run" if one of the attempts may have run.
 
-        The first attempt dies with its target, a second is allowed as the
-        method is idempotent, and no target accepts it: the last word was
-        taken from the attempt that had not run.
+        The first attempt fails because its target crashes. A retry is allowed,
+        because the method is idempotent, but no target accepts it. The outcome was
+        taken from the last attempt only, which had not run.
         """
         async with running_rig() as rig:
             for target in rig.targets.values():
@@ -178,7 +178,7 @@
             self.assertEqual(rig.targets[name].runs.total(), before)
 
     @on_mock_clock
-    async def test_target_that_says_it_leaves_gets_no_new_request(self):
+    async def test_target_that_reports_draining_gets_no_new_request(self):
         async with running_rig() as rig:
             target = rig.targets["calendario-01"]
             target.is_draining = True
@@ -189,10 +189,10 @@
             self.assertEqual(target.runs.total(), before)
 
     @on_mock_clock
-    async def test_health_endpoint_that_lies_is_outvoted_by_requests(self):
-        """A third of all requests fail although every check is green.
+    async def test_failed_requests_outweigh_a_passing_health_check(self):
+        """A third of all requests fails although all health checks pass.
 
-        A target's health endpoint answers, but nothing else on it does.
+        The health endpoint of a target answers, but nothing else on it does.
         """
         async with running_rig() as rig:
             target = rig.targets["calendario-01"]
@@ -217,7 +217,7 @@
             self.assertEqual(response.status, 200)
 
     @on_mock_clock
-    async def test_slots_are_never_overrun_by_all_vms_together(self):
+    async def test_all_vms_together_do_not_exceed_the_slots(self):
         async with running_rig() as rig:
             async with trio.open_nursery() as nursery:
                 for number in range(150):
@@ -228,8 +228,8 @@
                 self.assertEqual(target.shed, 0)
 
     @on_mock_clock
-    async def test_borrowed_slots_of_a_dead_borrower_come_back(self):
-        """A target serves one request less for ever after each VM that died."""
+    async def test_slots_lent_to_a_dead_vm_are_reclaimed(self):
+        """A target must not lose a slot permanently whenever a borrower dies."""
         async with running_rig() as rig:
             async with trio.open_nursery() as nursery:
                 for number in range(60):
@@ -251,7 +251,7 @@
         return f"{vm}~{record.incarnation}~{record.operation_epoch}~{nonce}"
 
     @on_mock_clock
-    async def test_booking_repeated_everywhere_runs_once(self):
+    async def test_booking_repeated_at_every_vm_runs_once(self):
         async with running_rig() as rig:
             operation = self.operation_at(rig, "mil-a-1", "n1")
             statuses = []
@@ -284,10 +284,10 @@
             self.assertEqual(runs, 1)
 
     @on_mock_clock
-    async def test_refused_booking_may_be_tried_again(self):
-        """A booking is refused as "not run" and can never be made.
+    async def test_refused_booking_can_be_repeated(self):
+        """A booking that was refused as "not run" must be possible later.
 
-        It found no room, and its operation id stayed claimed.
+        No target had a free slot, and the operation id stayed claimed.
         """
         async with running_rig() as rig:
             operation = self.operation_at(rig, "mil-a-1", "n3")
@@ -304,7 +304,7 @@
 
 class TestLookup(unittest.TestCase):
     @on_mock_clock
-    async def test_all_vms_answer_alike_and_steer_off_the_dead(self):
+    async def test_all_vms_give_the_same_answer_and_omit_a_dead_vm(self):
         async with running_rig() as rig:
 
             def first_vms():
--- a/tests/entry/test_retry_budget.py
+++ b/tests/entry/test_retry_budget.py
@@ -1,4 +1,4 @@
-"""How many further attempts a VM may make."""
+"""Limit of the retries of a VM."""
 
 import unittest
 
@@ -6,11 +6,11 @@
 
 
 class TestRetryBudget(unittest.TestCase):
-    def test_failing_targets_get_a_tenth_more_load_not_twice_as_much(self):
-        """Targets that fail are buried under repeats of what they failed.
+    def test_retries_add_a_tenth_to_the_load_of_failing_targets(self):
+        """Retries must not overload failing targets.
 
-        Every request is tried three times, so that the load triples just when
-        the targets can take least.
+        If every request were tried three times, the load would triple just when the
+        targets can handle the least.
         """
         budget = RetryBudget()
         spent = 0
--- a/tests/entry/test_slot_queue.py
+++ b/tests/entry/test_slot_queue.py
@@ -1,4 +1,4 @@
-"""Requests that wait for a slot."""
+"""Queue of requests that wait for a slot."""
 
 import unittest
 
@@ -10,11 +10,11 @@
 
 class TestSlotQueue(unittest.TestCase):
     @on_mock_clock
-    async def test_takes_workspaces_in_turn(self):
-        """A quiet workspace waits behind hundreds of a busy one's requests.
+    async def test_workspaces_are_served_round_robin(self):
+        """A workspace must not wait behind hundreds of requests of another one.
 
-        The busy one queues first and with many; slots then come free one by
-        one. Served in order of arrival, the quiet one's caller gives up.
+        The busy workspace queues many requests first, and slots become free one at
+        a time. In order of arrival, the caller of the quiet workspace would give up.
         """
         queue = SlotQueue()
         served = []
@@ -36,11 +36,11 @@
             nursery.cancel_scope.cancel()
 
     @on_mock_clock
-    async def test_turn_of_a_caller_who_left_goes_on(self):
-        """A slot stays free while others wait for it until they give up.
+    async def test_wakeup_of_a_cancelled_request_is_passed_on(self):
+        """A slot must not stay free while requests wait until they time out.
 
-        A request's turn comes in the moment in which its caller leaves; the
-        turn was kept and nobody behind it was woken.
+        A request is woken at the moment when its caller disconnects. The wake-up
+        was lost, and no other request was woken.
         """
         queue = SlotQueue()
         served = []
@@ -63,10 +63,10 @@
             self.assertEqual(queue.length, 0 if "second" in served else 1)
 
     @on_mock_clock
-    async def test_time_that_is_over_ends_the_wait_at_once(self):
-        """The whole daemon stops with "seconds must be non-negative".
+    async def test_negative_timeout_ends_the_wait_at_once(self):
+        """The daemon must not crash with "seconds must be non-negative".
 
-        A request waits for its slot until its last moment, is woken, finds
-        the slot taken, and waits again with less than no time left.
+        A request is woken just before its timeout, finds the slot taken, and waits
+        again with a negative time left.
         """
         self.assertFalse(await SlotQueue().wait("busy", -0.001))
--- a/tests/entry/test_targets.py
+++ b/tests/entry/test_targets.py
@@ -1,4 +1,4 @@
-"""Choosing among targets."""
+"""Order of preference among targets."""
 
 import unittest
 
@@ -18,10 +18,10 @@
 class TestFastestFirst(unittest.TestCase):
     @on_mock_clock
     async def test_slow_target_is_tried_last_and_again_later(self):
-        """One page in a hundred takes two seconds.
+        """A slow target must not make one page in a hundred take two seconds.
 
-        A target has become slow; its checks are green and it has free slots,
-        so that it goes on getting its turn.
+        The target passes its health checks and has free slots, so it would be used
+        as often as the others.
         """
         slow, usual = state("slow"), state("usual")
         for _ in range(10):
@@ -40,7 +40,7 @@
         self.assertEqual(order, ["idle", "busy"])
 
     @on_mock_clock
-    async def test_warms_up_by_a_ramp(self):
+    async def test_ramp_fraction_grows_to_one(self):
         cold = state("cold")
         self.assertLess(cold.ramp_fraction, 0.2)
         await trio.sleep(POOL.ramp_s)
--- a/tests/entry/test_timeout_header.py
+++ b/tests/entry/test_timeout_header.py
@@ -1,4 +1,4 @@
-"""The header in which callers say how long they wait."""
+"""The request header with the caller's timeout."""
 
 import unittest
 
@@ -9,7 +9,7 @@
 from plantainshed_model.document import Pool
 
 POOL = Pool("prenota", "/prenota", slots=4, connections=8, timeout_s=60.0)
-NO_MILLISECONDS = (
+INVALID_VALUES = (
     *("", "0", "-1", "+1", "1.5", "1 0", "x", "1\n"),
     *("\xb2", "1\xb2", "\xb9", "\xbd"),
     *(str(MAX_TIMEOUT_MS + 1), "9" * 20, "9" * 5000),
@@ -22,13 +22,13 @@
 
 
 class TestTimeoutHeader(unittest.TestCase):
-    def test_milliseconds(self):
+    def test_valid_values_are_converted_to_seconds(self):
         for text, seconds in (("1", 0.001), ("0250", 0.25), ("3600000", 60.0)):
             with self.subTest(text=text):
                 self.assertEqual(timeout_s(text), seconds)
 
-    def test_what_is_no_number_of_milliseconds_is_refused_by_name(self):
-        for text in NO_MILLISECONDS:
+    def test_invalid_value_is_refused_with_the_name_of_the_header(self):
+        for text in INVALID_VALUES:
             with self.subTest(text=text[:30]):
                 with self.assertRaises(Refusal) as caught:
                     timeout_s(text)
