--- a/packages/entry/plantainshed_entry/poison.py
+++ b/packages/entry/plantainshed_entry/poison.py
@@ -57,8 +57,8 @@
         """
         if self.rumors.knows(CLEAR_TOPIC, fingerprint):
             return
-        how = ISOLATED if isolated else SHARED
-        name = SEPARATOR.join((fingerprint, how, target))
+        isolation = ISOLATED if isolated else SHARED
+        name = SEPARATOR.join((fingerprint, isolation, target))
         self.rumors.publish(CRASH_TOPIC, name, ttl_s=CRASH_TTL_S)
 
     def note_success(self, fingerprint: str):
@@ -80,8 +80,8 @@
         """
         isolated = [
             target
-            for how, target in self._recent_crashes(fingerprint)
-            if how == ISOLATED
+            for isolation, target in self._recent_crashes(fingerprint)
+            if isolation == ISOLATED
         ]
         return len(isolated) >= ISOLATED_CRASHES_TO_BLOCK
 
@@ -102,8 +102,8 @@
         return recent
 
     def _on_crash(self, name: str, rumor: HeardRumor):
-        fingerprint, how, target = name.split(SEPARATOR)
-        self.crashes.setdefault(fingerprint, {})[how, target] = rumor.expires_at
+        fingerprint, isolation, target = name.split(SEPARATOR)
+        self.crashes.setdefault(fingerprint, {})[isolation, target] = rumor.expires_at
 
     def _on_clear(self, name: str, rumor: HeardRumor):
         self.crashes.pop(name, None)
--- a/packages/entry/plantainshed_entry/targets.py
+++ b/packages/entry/plantainshed_entry/targets.py
@@ -149,16 +149,16 @@
         target that was slow is tried again.
         """
         age = trio.current_time() - self.last_success_at
-        usual_s = self.pool.service_time_s
-        measured_s = self.service_time_s or usual_s
+        default_s = self.pool.service_time_s
+        measured_s = self.service_time_s or default_s
         weight = max(0.0, 1.0 - age / MEASUREMENT_TTL_S)
-        seconds = usual_s + (measured_s - usual_s) * weight
+        seconds = default_s + (measured_s - default_s) * weight
         return seconds * (1.0 + self.load)
 
     def note_success(self, seconds: float):
         """Record that a request was answered, and how long it took."""
-        known = self.service_time_s or seconds
-        self.service_time_s = known + (seconds - known) * TARGET_TIME_WEIGHT
+        average_s = self.service_time_s or seconds
+        self.service_time_s = average_s + (seconds - average_s) * TARGET_TIME_WEIGHT
         self.failures = 0
         self.last_success_at = trio.current_time()
         if not self.is_ejected:
@@ -319,8 +319,8 @@
 
     def is_slow(self, state: TargetState) -> bool:
         """Return whether a target is much slower than the average of its pool."""
-        usual_s = self.service_time.get(state.pool.name, state.pool.service_time_s)
-        return state.expected_s > SLOW_FACTOR * usual_s * (1.0 + state.load)
+        average_s = self.service_time.get(state.pool.name, state.pool.service_time_s)
+        return state.expected_s > SLOW_FACTOR * average_s * (1.0 + state.load)
 
     def _has_room(self, state: TargetState) -> bool:
         if state.part.free <= 0:
@@ -377,8 +377,8 @@
 
     def note_service_time(self, pool: str, seconds: float):
         """Add a measured service time to the moving average of a pool."""
-        known = self.service_time.get(pool, seconds)
-        self.service_time[pool] = known + (seconds - known) * POOL_TIME_WEIGHT
+        average_s = self.service_time.get(pool, seconds)
+        self.service_time[pool] = average_s + (seconds - average_s) * POOL_TIME_WEIGHT
 
     def capacity(self, pool: Pool, failure_domain: str) -> float:
         """Return the requests per second that a domain's usable targets can run."""
