--- a/packages/entry/plantainshed_entry/attempts.py
+++ b/packages/entry/plantainshed_entry/attempts.py
@@ -1,7 +1,7 @@
-"""Sending a request to targets until one answers, or nothing more may be tried.
+"""Attempts and retries of a request at targets.
 
-Another attempt is made only where nothing can have run, or where running twice
-does no harm, and then within the retry budget and the deadline.
+A request is retried only if it cannot have run, or if it is idempotent, and only within
+the retry budget and the deadline.
 """
 
 from collections.abc import Awaitable, Callable
@@ -11,7 +11,7 @@
 from .call import Call
 from .errors import AttemptFailed, Refusal
 from .metrics import Metrics
-from .poison import PoisonBook
+from .poison import PoisonTracker
 from .reasons import Outcome, Reason, RetryReason
 from .retry_budget import RetryBudget
 from .routing import Routing
@@ -26,23 +26,23 @@
 
 
 class Attempts:
-    """Carries a request to a target, and to others when that is allowed.
+    """Sends a request to a target and retries at other targets where allowed.
 
     Parameters
     ----------
     routing : Routing
     targets : TargetTable
-    poison : PoisonBook
+    poison : PoisonTracker
     metrics : Metrics
     relay : callable
-        Runs one attempt at one target; raises `AttemptFailed`.
+        Runs one attempt at one target; raises `AttemptFailed` if it fails.
     """
 
     def __init__(
         self,
         routing: Routing,
         targets: TargetTable,
-        poison: PoisonBook,
+        poison: PoisonTracker,
         metrics: Metrics,
         relay: Relay,
     ):
@@ -54,35 +54,35 @@
         self.budget = RetryBudget()
 
     async def run(self, call: Call):
-        """Have a request answered by a target, or raise `Refusal`."""
+        """Relay a request to a target until it is answered, or raise `Refusal`."""
         try:
             await self._run(call)
         except Refusal as refusal:
-            # The last attempt may not have run, or never have begun, and still
-            # an earlier one may have: "not run" would be false.
+            # An earlier attempt may have run even if the last one did not run or
+            # was never started, so the outcome "not run" would be wrong.
             if call.may_have_run:
                 refusal.outcome = Outcome.UNKNOWN
             raise
 
     async def _run(self, call: Call):
-        self.budget.earn()
+        self.budget.deposit()
         excluded: set[str] = set()
         while True:
-            self._refuse_poison(call)
-            marked = self.poison.is_marked(call.fingerprint)
-            excluded |= self.poison.targets_marked_by(call.fingerprint)
-            async with self.routing.slot(call, excluded, alone=marked) as state:
-                failure = await self._attempt(call, state, marked)
+            self._check_poison(call)
+            is_suspect = self.poison.is_suspect(call.fingerprint)
+            excluded |= self.poison.crashed_targets(call.fingerprint)
+            async with self.routing.slot(call, excluded, exclusive=is_suspect) as state:
+                failure = await self._attempt(call, state, is_suspect)
             if failure is None:
                 return
             excluded.add(state.target.name)
-            reason = self._reason_to_retry(call, failure)
+            reason = self._retry_reason(call, failure)
             if reason is None:
                 raise _refusal_for(failure)
             self.metrics.count_retry(reason)
 
-    def _refuse_poison(self, call: Call):
-        if self.poison.is_stopped(call.fingerprint):
+    def _check_poison(self, call: Call):
+        if self.poison.is_blocked(call.fingerprint):
             raise Refusal(
                 Reason.POISON,
                 "targets died while they ran this same request; it is stopped for now",
@@ -90,14 +90,14 @@
             )
 
     async def _attempt(
-        self, call: Call, state: TargetState, marked: bool
+        self, call: Call, state: TargetState, is_suspect: bool
     ) -> AttemptFailed | None:
         call.attempts += 1
         began_at = trio.current_time()
         try:
             await self.relay(call, state)
         except AttemptFailed as failure:
-            self._learn_from(call, state, failure, marked)
+            self._record_failure(call, state, failure, is_suspect)
             return failure
         seconds = trio.current_time() - began_at
         state.note_success(seconds)
@@ -105,26 +105,28 @@
         self.targets.note_service_time(call.pool.name, seconds)
         return None
 
-    def _learn_from(
-        self, call: Call, state: TargetState, failure: AttemptFailed, marked: bool
+    def _record_failure(
+        self, call: Call, state: TargetState, failure: AttemptFailed, is_suspect: bool
     ):
         call.may_have_run |= failure.outcome is Outcome.UNKNOWN
         if failure.crashed:
-            self.poison.note_crash(call.fingerprint, state.target.name, alone=marked)
+            self.poison.note_crash(
+                call.fingerprint, state.target.name, isolated=is_suspect
+            )
         if failure.blames_target:
             self.targets.note_failure(state.target.name)
             if failure.outcome is Outcome.NOT_RUN:
-                self.targets.note_refused(state.target.name)
+                self.targets.note_connect_refused(state.target.name)
 
-    def _reason_to_retry(self, call: Call, failure: AttemptFailed):
-        """Return why another attempt may be made, None if none may."""
+    def _retry_reason(self, call: Call, failure: AttemptFailed):
+        """Return the reason for a retry, or None if no retry is allowed."""
         exchange = call.exchange
         if exchange is not None and (exchange.started or call.body is None):
             return None
-        most = MAX_ATTEMPTS
+        max_attempts = MAX_ATTEMPTS
         if failure.outcome is Outcome.NOT_RUN:
-            most = MAX_ATTEMPTS_NOT_RUN
-        if call.attempts >= most or call.seconds_left <= 0:
+            max_attempts = MAX_ATTEMPTS_NOT_RUN
+        if call.attempts >= max_attempts or call.seconds_left <= 0:
             return None
         if failure.outcome is Outcome.NOT_RUN:
             reason = (
@@ -135,7 +137,8 @@
         elif call.is_idempotent:
             reason = RetryReason.IDEMPOTENT
         else:
-            # It may have run. A second run could book a second chair.
+            # The request may have run, and running it again could have its effect
+            # twice, for example a second booking.
             return None
         return reason if self.budget.try_spend() else None
 
--- a/packages/entry/plantainshed_entry/loads.py
+++ b/packages/entry/plantainshed_entry/loads.py
@@ -1,8 +1,7 @@
-"""What VMs tell each other of load: demand by home domain, and capacity.
+"""Load reports between VMs: demand by home domain, and capacity.
 
-Each VM counts the requests that came to it. A failure domain's VMs exchange
-these counts with their heartbeats; between domains only the domain's sum
-travels, with its summaries.
+Each VM counts the requests that it receives. The VMs of a failure domain exchange these
+counts in heartbeats. Failure domains exchange only their sums, in summaries.
 """
 
 import orjson
@@ -11,19 +10,19 @@
 
 from plantainshed_coordination.budgets import DemandMeter
 
-FRESH_S = 10.0
+LOAD_TTL_S = 10.0
 
 
 @frozen
 class DomainLoad:
-    """Demand that arrives at a failure domain, and what its targets can run.
+    """Demand that arrives at a failure domain, and the capacity of its targets.
 
     Parameters
     ----------
     capacity : dict of str to float
-        Requests a second, by pool.
+        Requests per second, by pool.
     arrivals : dict of str to dict of str to float
-        Requests a second, by pool and home domain of the callers.
+        Requests per second, by pool and home domain of the callers.
     """
 
     capacity: dict[str, float] = field(factory=dict)
@@ -40,19 +39,19 @@
 
     @classmethod
     def from_bytes(cls, data: bytes) -> "DomainLoad":
-        """Read a load that `to_bytes` wrote."""
+        """Decode a load encoded by `to_bytes`."""
         capacity, arrivals = orjson.loads(data)
         return cls(capacity, arrivals)
 
 
 @define
-class _Heard:
+class _ReceivedLoad:
     load: DomainLoad
-    at: float
+    received_at: float
 
 
-class LoadBoard:
-    """The loads of this VM, of its domain's other VMs, and of other domains.
+class LoadTracker:
+    """Tracks the loads of this VM, of its peers, and of other failure domains.
 
     Parameters
     ----------
@@ -63,11 +62,11 @@
     def __init__(self, failure_domain: str):
         self.failure_domain = failure_domain
         self.meters: dict[tuple[str, str], DemandMeter] = {}
-        self.peers: dict[str, _Heard] = {}
-        self.domains: dict[str, _Heard] = {}
+        self.peers: dict[str, _ReceivedLoad] = {}
+        self.domains: dict[str, _ReceivedLoad] = {}
 
     def count_arrival(self, pool: str, home_domain: str):
-        """Count a request that came to this VM."""
+        """Count a request that arrived at this VM."""
         key = (pool, home_domain or self.failure_domain)
         meter = self.meters.get(key)
         if meter is None:
@@ -75,7 +74,7 @@
         meter.add(1)
 
     def own_load(self, capacity: dict[str, float]) -> DomainLoad:
-        """Return this VM's arrivals, with the capacity that it sees."""
+        """Return the arrivals at this VM, with the given capacity."""
         arrivals: dict[str, dict[str, float]] = {}
         for (pool, home), meter in self.meters.items():
             rate = meter.read()
@@ -84,32 +83,38 @@
         return DomainLoad(capacity, arrivals)
 
     def domain_load(self, capacity: dict[str, float]) -> DomainLoad:
-        """Return the sum over this failure domain's VMs."""
+        """Return the sum of the arrivals at all VMs of this failure domain."""
         now = trio.current_time()
         loads = [self.own_load(capacity)]
-        loads += [h.load for h in self.peers.values() if now - h.at < FRESH_S]
+        loads += [
+            h.load for h in self.peers.values() if now - h.received_at < LOAD_TTL_S
+        ]
         arrivals: dict[str, dict[str, float]] = {}
         for load in loads:
-            _add(arrivals, load.arrivals)
+            _add_arrivals(arrivals, load.arrivals)
         return DomainLoad(capacity, arrivals)
 
     def note_peer(self, vm: str, load: DomainLoad):
-        """Take in what another VM of the own domain says."""
-        self.peers[vm] = _Heard(load, trio.current_time())
+        """Record the load reported by another VM of the own failure domain."""
+        self.peers[vm] = _ReceivedLoad(load, trio.current_time())
 
     def note_domain(self, failure_domain: str, load: DomainLoad):
-        """Take in what another failure domain says."""
-        self.domains[failure_domain] = _Heard(load, trio.current_time())
+        """Record the load reported by another failure domain."""
+        self.domains[failure_domain] = _ReceivedLoad(load, trio.current_time())
 
     def all_domains(self, capacity: dict[str, float]) -> dict[str, DomainLoad]:
-        """Return the loads of all domains that were heard lately."""
+        """Return the loads of all failure domains with a recent report."""
         now = trio.current_time()
-        loads = {n: h.load for n, h in self.domains.items() if now - h.at < FRESH_S}
+        loads = {
+            n: h.load
+            for n, h in self.domains.items()
+            if now - h.received_at < LOAD_TTL_S
+        }
         loads[self.failure_domain] = self.domain_load(capacity)
         return loads
 
 
-def _add(total, arrivals):
+def _add_arrivals(total, arrivals):
     for pool, homes in arrivals.items():
         into = total.setdefault(pool, {})
         for home, rate in homes.items():
--- a/packages/entry/plantainshed_entry/node.py
+++ b/packages/entry/plantainshed_entry/node.py
@@ -30,9 +30,9 @@
 from .domain_news import DomainNews
 from .facts import Facts
 from .in_force import budget_specs, nothing_in_force, put_in_force
-from .loads import DomainLoad, LoadBoard
+from .loads import DomainLoad, LoadTracker
 from .lookup import TTL_S, Lookup
-from .poison import PoisonBook
+from .poison import PoisonTracker
 from .probing import Probe, Probing
 from .routing import Routing
 from .serving import Serving
@@ -89,14 +89,14 @@
         )
         self.operations = OperationRegistry(self.network, self.membership)
         self.targets = TargetTable(self.holdings, order)
-        self.loads = LoadBoard(settings.failure_domain)
+        self.loads = LoadTracker(settings.failure_domain)
         self.steering = Steering(self.membership, self.targets, self.loads)
         self.lookup = Lookup(self.membership, self.steering)
         self.routing = Routing(self.membership, self.lending, self.targets)
         self.admission = Admission(
             self.rumors, limiter or self.lending, context.metrics
         )
-        self.poison = PoisonBook(self.rumors)
+        self.poison = PoisonTracker(self.rumors)
         self.attempts = Attempts(
             self.routing, self.targets, self.poison, context.metrics, relay
         )
@@ -131,7 +131,7 @@
         )
 
     def _join_parts(self):
-        self.holdings.choose_from_group = self.routing.choose_to_lend
+        self.holdings.choose_from_group = self.routing.choose_slots_to_lend
         self.membership.make_heartbeat_extra = self._news_for_domain
         self.membership.on_heartbeat_extra = self._take_domain_news
         self.membership.make_summary_extra = self._load_for_domains
@@ -216,7 +216,7 @@
             self.serving,
         ):
             part.in_force = in_force
-        self.targets.take_document(in_force)
+        self.targets.update_document(in_force)
         self.lookup.forget()
         for key in in_force.document.keys:
             if key.withdrawn:
@@ -235,7 +235,7 @@
     def _news_for_domain(self) -> bytes:
         load = self.loads.own_load({})
         silence_s = trio.current_time() - self.admission.outside_heard_at
-        return DomainNews(load, self.probing.found, max(0.0, silence_s)).to_bytes()
+        return DomainNews(load, self.probing.results, max(0.0, silence_s)).to_bytes()
 
     def _take_domain_news(self, vm: str, data: bytes):
         if not data:
--- a/packages/entry/plantainshed_entry/poison.py
+++ b/packages/entry/plantainshed_entry/poison.py
@@ -1,10 +1,11 @@
-"""Requests that kill the targets that run them, stopped after few.
-
-A request in flight when its target dies is marked, by a fingerprint of method,
-path, workspace and body. From then on it runs only where no other marked one
-does. If `DEATHS_ALONE` more targets die of it there, it is refused on every VM
-for a while.
-Requests that only happened to be there are cleared by their first success.
+"""Detection of poison requests: requests that crash the targets that run them.
+
+When a target crashes, every request in flight on it becomes a suspect, identified by a
+fingerprint of method, path, workspace and body. From then on it runs only on targets
+that run no other suspect. If `ISOLATED_CRASHES_TO_BLOCK` more targets crash while they
+run it in isolation, every VM refuses it for a while. A suspect that is answered is
+cleared, because it only happened to be running when a target crashed for another
+reason.
 """
 
 import trio
@@ -12,90 +13,97 @@
 
 from plantainshed_coordination.rumors import HeardRumor, RumorBook
 
-MARK_TOPIC = "crash-mark"
+CRASH_TOPIC = "crash-mark"
 CLEAR_TOPIC = "crash-clear"
-DEATHS_ALONE = 2
-ALONE = "alone"
-TOGETHER = "together"
-MARK_TTL_S = 120.0
+ISOLATED_CRASHES_TO_BLOCK = 2
+ISOLATED = "alone"
+SHARED = "together"
+CRASH_TTL_S = 120.0
 CLEAR_TTL_S = 60.0
-REMEMBERED_BODY_BYTES = 64 * 1024
+HASHED_BODY_BYTES = 64 * 1024
 SEPARATOR = "/"
 
 
-def fingerprint(workspace: str, method: str, path: str, body: bytes | None) -> str:
-    """Return what recognises the same request when it is sent again."""
+def compute_fingerprint(
+    workspace: str, method: str, path: str, body: bytes | None
+) -> str:
+    """Return a hash that identifies a request when it is repeated."""
     digest = xxhash.xxh3_128()
     for part in (workspace, method, path):
         digest.update(part.encode() + b"\x00")
-    digest.update((body or b"")[:REMEMBERED_BODY_BYTES])
+    digest.update((body or b"")[:HASHED_BODY_BYTES])
     return digest.hexdigest()
 
 
-class PoisonBook:
-    """Which fingerprints are under suspicion, and which are stopped."""
+class PoisonTracker:
+    """Records which requests crashed which targets, shared by rumors."""
 
     def __init__(self, rumors: RumorBook):
         self.rumors = rumors
-        self.marks: dict[str, dict[tuple[str, str], float]] = {}
-        rumors.listeners[MARK_TOPIC] = self._on_mark
+        self.crashes: dict[str, dict[tuple[str, str], float]] = {}
+        rumors.listeners[CRASH_TOPIC] = self._on_crash
         rumors.listeners[CLEAR_TOPIC] = self._on_clear
 
-    def note_crash(self, mark: str, target: str, alone: bool):
-        """Note that a target died while it ran a request.
+    def note_crash(self, fingerprint: str, target: str, isolated: bool):
+        """Record that a target crashed while it ran a request.
 
         Parameters
         ----------
-        mark : str
+        fingerprint : str
             The request's fingerprint.
         target : str
-        alone : bool
-            Whether it ran there as a marked one, away from all others.
+        isolated : bool
+            Whether the request ran as a suspect, apart from other suspects.
         """
-        if self.rumors.knows(CLEAR_TOPIC, mark):
+        if self.rumors.knows(CLEAR_TOPIC, fingerprint):
             return
-        how = ALONE if alone else TOGETHER
-        name = SEPARATOR.join((mark, how, target))
-        self.rumors.publish(MARK_TOPIC, name, ttl_s=MARK_TTL_S)
-
-    def note_success(self, mark: str):
-        """Note that a request was answered: it is not what kills targets."""
-        if mark in self.marks:
-            self.rumors.publish(CLEAR_TOPIC, mark, ttl_s=CLEAR_TTL_S)
-
-    def is_marked(self, mark: str) -> bool:
-        """Tell whether a target died while it ran such a request."""
-        return bool(self._fresh_marks(mark))
-
-    def is_stopped(self, mark: str) -> bool:
-        """Tell whether such requests are refused for now.
-
-        A popular request can be in several targets when they die of others;
-        what counts are deaths that it was alone for. One of those can still be
-        another's fault, of a killer that was not marked yet.
+        isolation = ISOLATED if isolated else SHARED
+        name = SEPARATOR.join((fingerprint, isolation, target))
+        self.rumors.publish(CRASH_TOPIC, name, ttl_s=CRASH_TTL_S)
+
+    def note_success(self, fingerprint: str):
+        """Clear a suspect that was answered, as it does not crash targets."""
+        if fingerprint in self.crashes:
+            self.rumors.publish(CLEAR_TOPIC, fingerprint, ttl_s=CLEAR_TTL_S)
+
+    def is_suspect(self, fingerprint: str) -> bool:
+        """Return whether a target crashed while it ran this request."""
+        return bool(self._recent_crashes(fingerprint))
+
+    def is_blocked(self, fingerprint: str) -> bool:
+        """Return whether this request is refused for now.
+
+        A popular request can be running on several targets when another request
+        crashes them, so only crashes during isolated runs count. One such crash is
+        not enough, because a poison request that was not a suspect yet can have
+        caused it.
         """
-        alone = [target for how, target in self._fresh_marks(mark) if how == ALONE]
-        return len(alone) >= DEATHS_ALONE
-
-    def targets_marked_by(self, mark: str) -> set[str]:
-        """Return the targets that died while they ran such a request."""
-        return {target for _, target in self._fresh_marks(mark)}
-
-    def _fresh_marks(self, mark: str) -> dict[tuple[str, str], float]:
-        marks = self.marks.get(mark)
-        if not marks:
+        isolated = [
+            target
+            for isolation, target in self._recent_crashes(fingerprint)
+            if isolation == ISOLATED
+        ]
+        return len(isolated) >= ISOLATED_CRASHES_TO_BLOCK
+
+    def crashed_targets(self, fingerprint: str) -> set[str]:
+        """Return the targets that crashed while they ran this request."""
+        return {target for _, target in self._recent_crashes(fingerprint)}
+
+    def _recent_crashes(self, fingerprint: str) -> dict[tuple[str, str], float]:
+        crashes = self.crashes.get(fingerprint)
+        if not crashes:
             return {}
         now = trio.current_time()
-        fresh = {death: until for death, until in marks.items() if until > now}
-        if fresh:
-            self.marks[mark] = fresh
+        recent = {crash: until for crash, until in crashes.items() if until > now}
+        if recent:
+            self.crashes[fingerprint] = recent
         else:
-            del self.marks[mark]
-        return fresh
+            del self.crashes[fingerprint]
+        return recent
 
-    def _on_mark(self, name: str, rumor: HeardRumor):
-        mark, how, target = name.split(SEPARATOR)
-        self.marks.setdefault(mark, {})[how, target] = rumor.expires_at
+    def _on_crash(self, name: str, rumor: HeardRumor):
+        fingerprint, isolation, target = name.split(SEPARATOR)
+        self.crashes.setdefault(fingerprint, {})[isolation, target] = rumor.expires_at
 
     def _on_clear(self, name: str, rumor: HeardRumor):
-        self.marks.pop(name, None)
+        self.crashes.pop(name, None)
--- a/packages/entry/plantainshed_entry/relay.py
+++ b/packages/entry/plantainshed_entry/relay.py
@@ -1,8 +1,8 @@
-"""Carrying one request to one target and its answer back, over HTTP.
+"""Relaying of one request to one target over HTTP, and of the response back.
 
-Both directions stream; what is buffered is one piece at a time. The key never
-leaves the daemon, and the deadline and the caller's leaving stop the target's
-work by closing its connection.
+Bodies are streamed in both directions, one chunk at a time. The caller's key is never
+sent to a target. When the deadline passes or the caller disconnects, the connection to
+the target is closed, so that the target stops its work.
 """
 
 import contextlib
@@ -29,13 +29,13 @@
 from .call import Call
 from .errors import AttemptFailed, Refusal
 from .reasons import Outcome, Reason
-from .targets import ProbeNews, TargetState
+from .targets import ProbeResult, TargetState
 
 CONNECT_TIMEOUT_S = 1.0
 DEADLINE_HEADER = b"request-timeout-ms"
 WORKSPACE_HEADER = b"plantainshed-workspace"
 REQUEST_ID_HEADER = b"plantainshed-request-id"
-NOT_FOR_TARGETS = frozenset(
+STRIPPED_HEADERS = frozenset(
     {
         b"authorization",
         b"content-length",
@@ -47,11 +47,11 @@
 )
 NOT_RUN_HEADER = b"plantainshed-not-run"
 LOAD_HEADER = b"plantainshed-load"
-# Stricter than `isdigit`, which is also true of digits that `float` raises on,
-# and short enough to be finite: an error there would end the process.
-LOAD = re.compile(r"(?=.?[0-9])[0-9]{0,20}(\.[0-9]{0,20})?")
+# `str.isdigit` also accepts digits that `float` rejects, and an unhandled error would
+# end the process. The length limit keeps the value finite.
+LOAD_PATTERN = re.compile(r"(?=.?[0-9])[0-9]{0,20}(\.[0-9]{0,20})?")
 DRAINING_HEADER = b"plantainshed-draining"
-IDLE_FOR_EACH_SLOT = 2
+IDLE_PER_SLOT = 2
 
 
 class HttpRelay:
@@ -60,11 +60,11 @@
     Attributes
     ----------
     idle : dict of str to deque of ClientConnection
-        Open connections that carry nothing at present, by address.
+        Idle open connections, by address of the target.
     opened : int
-        Connections opened so far.
+        Number of connections that this relay has tried to open.
     vm_count : callable
-        Number of VMs that may hold connections to the same targets.
+        Returns the number of VMs that may hold connections to the same targets.
     """
 
     def __init__(self):
@@ -75,21 +75,21 @@
     async def run(self, call: Call, state: TargetState):
         """Run one attempt, or raise `AttemptFailed`.
 
-        A request that no target can be sent raises `Refusal`.
+        Raises `Refusal` for a request that cannot be sent to any target.
         """
-        connection = await self._connection(state)
+        connection = await self._acquire(state)
         reusable = False
         try:
             await self._exchange(call, state, connection)
             reusable = connection.reusable
         finally:
-            await self._put_back(state, connection, reusable)
+            await self._release(state, connection, reusable)
 
-    async def _connection(self, state: TargetState) -> ClientConnection:
+    async def _acquire(self, state: TargetState) -> ClientConnection:
         address = state.target.address
-        waiting = self.idle.get(address)
-        while waiting:
-            connection = waiting.pop()
+        idle = self.idle.get(address)
+        while idle:
+            connection = idle.pop()
             if not connection.stale:
                 return connection
             await connection.aclose()
@@ -102,23 +102,24 @@
                 Outcome.NOT_RUN,
             ) from error
 
-    async def _put_back(self, state, connection, reusable: bool):
-        waiting = self.idle.setdefault(state.target.address, deque())
-        if reusable and len(waiting) < self._most_idle(state):
-            waiting.append(connection)
+    async def _release(self, state, connection, reusable: bool):
+        idle = self.idle.setdefault(state.target.address, deque())
+        if reusable and len(idle) < self._max_idle(state):
+            idle.append(connection)
         else:
-            # Closing is also how a target learns that nobody waits any more.
+            # Closing the connection also tells the target that nobody waits for
+            # the response any more.
             with trio.CancelScope(shield=True):
                 await connection.aclose()
 
-    def _most_idle(self, state: TargetState) -> int:
-        """Return how many idle connections to keep to a target.
+    def _max_idle(self, state: TargetState) -> int:
+        """Return the maximum number of idle connections to a target.
 
-        Half of what the target accepts, divided by all VMs; the other half is
-        for connections in use, of which there are no more than slots.
+        All VMs together may keep half of the connections that the target accepts.
+        The other half is for connections in use, which the slots limit.
         """
-        fair = state.pool.connections // (2 * max(1, self.vm_count()))
-        return min(IDLE_FOR_EACH_SLOT * state.pool.slots, fair)
+        fair_share = state.pool.connections // (2 * max(1, self.vm_count()))
+        return min(IDLE_PER_SLOT * state.pool.slots, fair_share)
 
     async def _exchange(self, call: Call, state: TargetState, connection):
         exchange = call.exchange
@@ -127,13 +128,14 @@
                 call.method, call.path, _headers_for_target(call, exchange.request)
             )
             if call.body is not None:
-                await self._send_whole_body(call, connection)
+                await self._send_buffered_body(call, connection)
                 head = await connection.response_head()
-                await self._answer(call, state, connection, head)
+                await self._relay_response(call, state, connection, head)
             else:
                 await self._stream_both_ways(call, state, connection)
         except UnsendableRequest as error:
-            # The caller's fault, not the target's: it blames and tries no other.
+            # The request itself is invalid, so the target is not blamed and the
+            # request is not retried.
             raise Refusal(Reason.BAD_REQUEST, error.reason) from error
         except ConnectionBroken as error:
             raise AttemptFailed(
@@ -142,7 +144,7 @@
                 crashed=connection.send_started,
             ) from error
 
-    async def _send_whole_body(self, call, connection):
+    async def _send_buffered_body(self, call, connection):
         if call.body:
             await connection.send_body(call.body)
         await connection.end_request()
@@ -151,7 +153,7 @@
         async with open_plain_nursery() as nursery:
             nursery.start_soon(self._send_body, call, connection)
             head = await connection.response_head()
-            await self._answer(call, state, connection, head)
+            await self._relay_response(call, state, connection, head)
             nursery.cancel_scope.cancel()
 
     async def _send_body(self, call, connection):
@@ -159,8 +161,8 @@
             await connection.send_body(chunk)
         await connection.end_request()
 
-    async def _answer(self, call, state, connection, head):
-        _learn_from_answer(state, head)
+    async def _relay_response(self, call, state, connection, head):
+        _update_from_response(state, head)
         if head.status == 503 and head.header(NOT_RUN_HEADER):
             async for _ in connection.response_body():
                 pass
@@ -172,7 +174,7 @@
         exchange = call.exchange
         await exchange.start(head.status, _headers_for_caller(call, head.headers))
         if not connection.has_buffered_data:
-            # The body may come much later; its head is not held back for it.
+            # The body may arrive much later, so the head is sent at once.
             await exchange.flush()
         async for chunk in connection.response_body():
             await exchange.send(chunk)
@@ -180,14 +182,14 @@
 
     async def aclose(self):
         """Close all idle connections."""
-        for waiting in self.idle.values():
-            while waiting:
-                await waiting.pop().aclose()
+        for idle in self.idle.values():
+            while idle:
+                await idle.pop().aclose()
 
 
 @contextlib.asynccontextmanager
 async def open_relay():
-    """Have a relay for the length of a block."""
+    """Open a relay for the duration of a block."""
     relay = HttpRelay()
     try:
         yield relay
@@ -200,7 +202,7 @@
     headers = [
         (name, value)
         for name, value in end_to_end_headers(request.headers)
-        if name not in NOT_FOR_TARGETS
+        if name not in STRIPPED_HEADERS
     ]
     length = request.header(b"content-length")
     if call.body is not None:
@@ -231,19 +233,19 @@
 
 
 def reported_load(head: ResponseHead) -> float | None:
-    """Return the load that a target reports; None if it reports no number."""
+    """Return the load that a target reports, or None without a valid number."""
     text = head.header(LOAD_HEADER)
-    if text is None or not LOAD.fullmatch(text):
+    if text is None or not LOAD_PATTERN.fullmatch(text):
         return None
     return float(text)
 
 
-def _learn_from_answer(state: TargetState, head: ResponseHead):
+def _update_from_response(state: TargetState, head: ResponseHead):
     if head.header(DRAINING_HEADER):
         state.draining_at = trio.current_time()
     load = reported_load(head)
     if load is None:
         return
     healthy = state.probe.healthy if state.probe else True
-    state.probe = ProbeNews(healthy, state.is_leaving, load)
+    state.probe = ProbeResult(healthy, state.is_draining, load)
     state.probe_at = trio.current_time()
--- a/packages/entry/plantainshed_entry/retry_budget.py
+++ b/packages/entry/plantainshed_entry/retry_budget.py
@@ -1,27 +1,28 @@
-"""How many further attempts a VM may make, as a share of its requests.
+"""Retry budget: limits the retries of a VM to a fraction of its requests.
 
-Without it, targets that fail get twice the load just when they can take least.
+Without this limit, retries would double the load on failing targets just when they can
+handle the least.
 """
 
 from attrs import define
 
 RETRY_SHARE = 0.1
-MOST_SAVED = 20.0
+MAX_TOKENS = 20.0
 
 
 @define
 class RetryBudget:
-    """Earned by requests, spent by further attempts."""
+    """Token bucket that requests fill and retries empty."""
 
-    saved: float = MOST_SAVED
+    tokens: float = MAX_TOKENS
 
-    def earn(self):
-        """Count a request."""
-        self.saved = min(MOST_SAVED, self.saved + RETRY_SHARE)
+    def deposit(self):
+        """Add the tokens for one request."""
+        self.tokens = min(MAX_TOKENS, self.tokens + RETRY_SHARE)
 
     def try_spend(self) -> bool:
-        """Spend one further attempt if one is left."""
-        if self.saved < 1.0:
+        """Take the token for one retry; return False if there is none."""
+        if self.tokens < 1.0:
             return False
-        self.saved -= 1.0
+        self.tokens -= 1.0
         return True
--- a/packages/entry/plantainshed_entry/serving.py
+++ b/packages/entry/plantainshed_entry/serving.py
@@ -28,9 +28,9 @@
 from .errors import Refusal
 from .facts import Facts
 from .in_force import InForce
-from .loads import LoadBoard
+from .loads import LoadTracker
 from .lookup import Lookup
-from .poison import fingerprint
+from .poison import compute_fingerprint
 from .reasons import STATUS, Outcome, Reason
 from .recorded_answers import AnswerRecorder, RecordedAnswer
 from .relay import DEADLINE_HEADER
@@ -65,7 +65,7 @@
         admission: Admission,
         attempts: Attempts,
         operations: OperationRegistry,
-        loads: LoadBoard,
+        loads: LoadTracker,
         lookup: Lookup,
         facts: Facts,
     ):
@@ -112,7 +112,7 @@
         pool = self.in_force.pool_for(head.target)
         if pool is None:
             raise Refusal(Reason.UNKNOWN_PATH, f"no pool serves {head.target}")
-        admitted = self.admission.identify(head)
+        admitted = self.admission.authenticate(head)
         call = Call(
             request_id=secrets.token_hex(REQUEST_ID_BYTES),
             method=head.method,
@@ -129,7 +129,7 @@
         await self.admission.spend_rate(admitted.workspace)
         if _is_small(head):
             call.body = await exchange.read_body(BUFFERED_BODY_BYTES)
-        call.fingerprint = fingerprint(
+        call.fingerprint = compute_fingerprint(
             call.workspace, call.method, call.path, call.body
         )
         return call
--- a/packages/entry/plantainshed_entry/targets.py
+++ b/packages/entry/plantainshed_entry/targets.py
@@ -1,7 +1,8 @@
-"""What this VM knows of targets: health, load, leaving, warming up.
+"""State of the targets on this VM: health, load, draining and warm-up.
 
-What real requests meet outranks what a probe says, and "leaving" outranks
-"healthy". Ejection keeps a floor: a false alarm never empties a pool.
+Results of real requests take precedence over probe results, and "draining" takes
+precedence over "healthy". The fraction of ejected targets is limited, so that a false
+alarm cannot empty a pool.
 """
 
 import random
@@ -17,28 +18,28 @@
 from .in_force import SLOTS_PREFIX, InForce
 
 FAILURES_TO_EJECT = 3
-EJECT_S = 5.0
-REFUSED_S = 2.0
-EJECT_MAX_S = 60.0
-SUCCESS_COUNTS_S = 5.0
-NEWS_FRESH_S = 8.0
-MOST_EJECTED = 0.5
+INITIAL_EJECTION_S = 5.0
+CONNECT_REFUSED_S = 2.0
+MAX_EJECTION_S = 60.0
+SUCCESS_TTL_S = 5.0
+REPORT_TTL_S = 8.0
+MAX_EJECTED_FRACTION = 0.5
 RAMP_START = 0.1
-SERVICE_TIME_WEIGHT = 0.05
+POOL_TIME_WEIGHT = 0.05
 TARGET_TIME_WEIGHT = 0.3
-SLOW_FORGOTTEN_S = 20.0
-SLOW_TIMES = 2.0
+MEASUREMENT_TTL_S = 20.0
+SLOW_FACTOR = 2.0
 
 
 @frozen
-class ProbeNews:
-    """What a prober says of a target.
+class ProbeResult:
+    """Result of a health check of a target.
 
     Parameters
     ----------
     healthy, draining : bool
     load : float
-        Requests that the target says it is running.
+        Number of running requests that the target reports.
     """
 
     healthy: bool
@@ -48,18 +49,24 @@
 
 @define
 class TargetState:
-    """One target as this VM sees it.
+    """State of one target as observed by this VM.
 
     Attributes
     ----------
+    part : CountPart or None
+        This VM's share of the target's slots.
     failures : int
-        Requests in a row that found the target broken.
-    ejected_until, ejections
-        When it may be tried again, and how often it was ejected lately.
-    warm_since : float
-        When its ramp began.
+        Consecutive requests that failed because of the target.
+    ejected_until : float
+        When the target may be used again.
+    ejections : int
+        Number of ejections since the last successful request.
+    ramp_started_at : float
+        When the warm-up of the target began.
     service_time_s : float
-        Measured seconds of a request, newer ones count more; 0 if unknown.
+        Moving average of the measured service time; 0 if unknown.
+    suspects_in_flight : int
+        Own requests in flight that are suspected of crashing targets.
     """
 
     target: Target
@@ -68,112 +75,119 @@
     failures: int = 0
     ejected_until: float = 0.0
     ejections: int = 0
-    success_at: float = -SUCCESS_COUNTS_S
-    probe: ProbeNews | None = None
+    last_success_at: float = -SUCCESS_TTL_S
+    probe: ProbeResult | None = None
     probe_at: float = 0.0
-    draining_at: float = -NEWS_FRESH_S
+    draining_at: float = -REPORT_TTL_S
     refused_until: float = 0.0
-    warm_since: float = field(factory=trio.current_time)
+    ramp_started_at: float = field(factory=trio.current_time)
     service_time_s: float = 0.0
     own_in_flight: int = 0
-    marked_in_flight: int = 0
+    suspects_in_flight: int = 0
 
     @property
     def is_ejected(self) -> bool:
-        """Whether it is out for a while."""
+        """Whether the target is ejected at present."""
         return self.ejected_until > trio.current_time()
 
     @property
-    def accepts_nothing(self) -> bool:
-        """Whether it refused this VM's connection a moment ago."""
+    def refuses_connections(self) -> bool:
+        """Whether the target recently refused a connection of this VM."""
         return self.refused_until > trio.current_time()
 
     @property
-    def is_leaving(self) -> bool:
-        """Whether it said lately that it is draining."""
-        return trio.current_time() - self.draining_at < NEWS_FRESH_S
+    def is_draining(self) -> bool:
+        """Whether the target recently reported that it is draining."""
+        return trio.current_time() - self.draining_at < REPORT_TTL_S
 
     @property
-    def runs_marked(self) -> bool:
-        """Whether a request runs in it that a target has died of, perhaps."""
-        lent_alone = self.part is not None and bool(self.part.exclusive_loans)
-        return self.marked_in_flight > 0 or lent_alone
+    def runs_suspect(self) -> bool:
+        """Whether the target runs a request that is suspected of crashing targets."""
+        lent_exclusively = self.part is not None and bool(self.part.exclusive_loans)
+        return self.suspects_in_flight > 0 or lent_exclusively
 
     @property
     def seems_healthy(self) -> bool:
-        """Whether probes, or better evidence, speak for it."""
+        """Whether recent requests or probes indicate that the target is healthy.
+
+        A target without a recent result counts as healthy.
+        """
         now = trio.current_time()
-        if now - self.success_at < SUCCESS_COUNTS_S:
-            # Its health endpoint may mislead; requests that succeed do not.
+        if now - self.last_success_at < SUCCESS_TTL_S:
+            # A health endpoint can be wrong, so successful requests take precedence.
             return True
-        if self.probe is None or now - self.probe_at > NEWS_FRESH_S:
+        if self.probe is None or now - self.probe_at > REPORT_TTL_S:
             return True
         return self.probe.healthy
 
     @property
-    def warmth(self) -> float:
-        """How much of its slots may be used while it warms up, up to 1."""
+    def ramp_fraction(self) -> float:
+        """Fraction of the slots that may be used during warm-up, up to 1."""
         if self.pool.ramp_s <= 0:
             return 1.0
-        elapsed = trio.current_time() - self.warm_since
+        elapsed = trio.current_time() - self.ramp_started_at
         return min(1.0, RAMP_START + elapsed / self.pool.ramp_s)
 
     @property
     def load(self) -> float:
-        """Requests in it for each slot: own ones, or what it says, if more."""
+        """Running requests per slot.
+
+        The larger of the requests of this VM and the load that the target reported
+        is used. The weight of a report decreases with its age.
+        """
         reported = 0.0
         if self.probe is not None:
             age = trio.current_time() - self.probe_at
-            reported = self.probe.load * max(0.0, 1.0 - age / NEWS_FRESH_S)
+            reported = self.probe.load * max(0.0, 1.0 - age / REPORT_TTL_S)
         return max(float(self.own_in_flight), reported) / self.pool.slots
 
     @property
     def expected_s(self) -> float:
-        """Seconds that a further request is expected to take.
+        """Expected duration of one more request in seconds.
 
-        What was measured long ago counts less, so that a target that was slow
-        is tried again.
+        The weight of the measured service time decreases with its age, so that a
+        target that was slow is tried again.
         """
-        age = trio.current_time() - self.success_at
-        usual_s = self.pool.service_time_s
-        measured_s = self.service_time_s or usual_s
-        weight = max(0.0, 1.0 - age / SLOW_FORGOTTEN_S)
-        seconds = usual_s + (measured_s - usual_s) * weight
+        age = trio.current_time() - self.last_success_at
+        default_s = self.pool.service_time_s
+        measured_s = self.service_time_s or default_s
+        weight = max(0.0, 1.0 - age / MEASUREMENT_TTL_S)
+        seconds = default_s + (measured_s - default_s) * weight
         return seconds * (1.0 + self.load)
 
     def note_success(self, seconds: float):
-        """Note that a request was answered, and how long it took."""
-        known = self.service_time_s or seconds
-        self.service_time_s = known + (seconds - known) * TARGET_TIME_WEIGHT
+        """Record that a request was answered, and how long it took."""
+        average_s = self.service_time_s or seconds
+        self.service_time_s = average_s + (seconds - average_s) * TARGET_TIME_WEIGHT
         self.failures = 0
-        self.success_at = trio.current_time()
+        self.last_success_at = trio.current_time()
         if not self.is_ejected:
             self.ejections = 0
 
     def restart_ramp(self):
-        """Begin to warm up; a target that comes back has a cold cache."""
-        self.warm_since = trio.current_time()
+        """Restart the warm-up, because a target that returns has a cold cache."""
+        self.ramp_started_at = trio.current_time()
 
 
 class TargetOrder(Protocol):
-    """Puts targets with room in the order in which to try them."""
+    """Orders targets with free slots by preference."""
 
     def __call__(self, candidates: list[TargetState]) -> list[TargetState]:
         """Return the candidates, best first."""
 
 
 class FastestFirst:
-    """Prefers the target where a request is expected to end first.
+    """Prefers the target with the shortest expected duration of a request.
 
-    A target that is slow, but not broken, answers all checks and still has
-    free slots; only how long it takes gives it away.
+    A target that is slow but not broken passes all health checks and has free slots.
+    Only the duration of its requests shows that it is slow.
     """
 
     def __init__(self):
         self.random = random.Random(1)
 
     def __call__(self, candidates: list[TargetState]) -> list[TargetState]:
-        """Return the candidates by expected time; equal ones in random order."""
+        """Sort the candidates by expected duration, ties in random order."""
         shuffled = self.random.sample(candidates, len(candidates))
         return sorted(shuffled, key=lambda state: state.expected_s)
 
@@ -184,15 +198,18 @@
     Parameters
     ----------
     holdings : Holdings
-        Where this VM's parts of slots are.
+        This VM's parts of the slot budgets.
     order : TargetOrder, optional
-        Which of several targets with room to prefer.
+        Order of preference among targets with free slots.
 
     Attributes
     ----------
     states : dict of str to TargetState
+        State by name of the target.
     service_time : dict of str to float
-        Measured seconds in a slot, by pool.
+        Moving average of the measured service time in seconds, by pool.
+    drained : set of str
+        Targets that an operator drains, alone or with their failure domain.
     """
 
     def __init__(self, holdings: Holdings, order: "TargetOrder | None" = None):
@@ -202,10 +219,10 @@
         self.service_time: dict[str, float] = {}
         self.drained: set[str] = set()
         self._by_pool: dict[str, list[TargetState]] = {}
-        self._is_first = True
+        self._is_first_document = True
 
-    def take_document(self, in_force: InForce):
-        """Take over the targets of a document that came into force."""
+    def update_document(self, in_force: InForce):
+        """Update the targets when a new document comes into force."""
         document = in_force.document
         states = {}
         for target in document.targets:
@@ -213,21 +230,21 @@
             state = self.states.get(target.name)
             if state is None or state.target.address != target.address:
                 state = TargetState(target, pool)
-                if self._is_first:
-                    # A VM that has just started knows nothing of how warm the
-                    # targets are; it is the VM that is new, not all of them.
-                    state.warm_since -= pool.ramp_s
+                if self._is_first_document:
+                    # A VM that has just started does not know whether the targets
+                    # are warm. Only the VM is new, so the targets count as warm.
+                    state.ramp_started_at -= pool.ramp_s
             state.target, state.pool = target, pool
             state.part = self.holdings.parts.get(SLOTS_PREFIX + target.name)
             states[target.name] = state
         self.states = states
-        self._is_first = False
+        self._is_first_document = False
         self._by_pool = {}
         for state in states.values():
             self._by_pool.setdefault(state.pool.name, []).append(state)
-        self._take_drains(document.drains)
+        self._update_drains(document.drains)
 
-    def _take_drains(self, drains: tuple[Drain, ...]):
+    def _update_drains(self, drains: tuple[Drain, ...]):
         names = {drain.name for drain in drains if drain.kind is DrainKind.TARGET}
         domains = {d.name for d in drains if d.kind is DrainKind.FAILURE_DOMAIN}
         drained = {
@@ -245,53 +262,54 @@
         return self._by_pool.get(pool, [])
 
     def usable(self, pool: str, failure_domain: str) -> list[TargetState]:
-        """Return the targets that may get new work, in one failure domain.
+        """Return the targets of a failure domain that may get new requests.
 
-        When more than half of those that are not leaving seem broken, the
-        alarm is more likely false than all of them dead: all stay in use. One
-        that accepts no connection is no alarm but a fact, and is left out.
+        If more than half of the targets that are not draining seem unhealthy, a
+        false alarm is more likely than that many broken targets, so all of them
+        stay in use. A target that refuses connections is certainly unusable and is
+        always left out.
         """
-        staying = [
+        candidates = [
             state
             for state in self.of_pool(pool)
             if state.target.failure_domain == failure_domain
             and state.target.name not in self.drained
-            and not state.is_leaving
-            and not state.accepts_nothing
+            and not state.is_draining
+            and not state.refuses_connections
         ]
-        sound = [s for s in staying if s.seems_healthy and not s.is_ejected]
-        if len(sound) < len(staying) * MOST_EJECTED:
-            return staying
-        return sound
+        healthy = [s for s in candidates if s.seems_healthy and not s.is_ejected]
+        if len(healthy) < len(candidates) * MAX_EJECTED_FRACTION:
+            return candidates
+        return healthy
 
     def take_slot(
         self,
         pool: str,
         failure_domain: str,
         excluded=frozenset(),
-        alone: bool = False,
-        slow: bool = True,
+        exclusive: bool = False,
+        allow_slow: bool = True,
     ) -> TargetState | None:
-        """Take a slot of the least loaded target that has one, if any has.
+        """Take a free slot of the preferred target, or return None.
 
         Parameters
         ----------
         pool, failure_domain : str
         excluded : set of str
-            Targets not to use.
-        alone : bool
-            Whether the request is under suspicion of killing targets, and must
-            not share one with another that is.
-        slow : bool
-            Whether a slow target will do.
+            Names of targets that must not be used.
+        exclusive : bool
+            Whether the request is suspected of crashing targets. Its target must
+            not run another suspected request at the same time.
+        allow_slow : bool
+            Whether slow targets may be used.
         """
         candidates = [
             state
             for state in self.usable(pool, failure_domain)
             if state.part is not None
             and state.target.name not in excluded
-            and not (alone and state.runs_marked)
-            and (slow or not self.is_slow(state))
+            and not (exclusive and state.runs_suspect)
+            and (allow_slow or not self.is_slow(state))
             and self._has_room(state)
         ]
         for state in self.order(candidates):
@@ -300,67 +318,73 @@
         return None
 
     def is_slow(self, state: TargetState) -> bool:
-        """Tell whether a target takes several times as long as its pool."""
-        usual_s = self.service_time.get(state.pool.name, state.pool.service_time_s)
-        return state.expected_s > SLOW_TIMES * usual_s * (1.0 + state.load)
+        """Return whether a target is much slower than the average of its pool."""
+        average_s = self.service_time.get(state.pool.name, state.pool.service_time_s)
+        return state.expected_s > SLOW_FACTOR * average_s * (1.0 + state.load)
 
     def _has_room(self, state: TargetState) -> bool:
         if state.part.free <= 0:
             state.part.denied.add(1)
             return False
-        allowed = max(1.0, state.part.usable * state.warmth)
+        allowed = max(1.0, state.part.usable * state.ramp_fraction)
         return state.part.in_use + len(state.part.lent) < allowed
 
-    def note_refused(self, name: str):
-        """Note that a target accepted no connection."""
+    def note_connect_refused(self, name: str):
+        """Record that a target refused a connection."""
         state = self.states.get(name)
         if state is not None:
-            state.refused_until = trio.current_time() + REFUSED_S
+            state.refused_until = trio.current_time() + CONNECT_REFUSED_S
 
     def note_failure(self, name: str) -> bool:
-        """Note that a request found a target broken; return whether it is out."""
+        """Record that a request failed because of a target.
+
+        Returns
+        -------
+        bool
+            Whether this failure caused an ejection.
+        """
         state = self.states.get(name)
         if state is None:
             return False
         state.failures += 1
         if state.failures < FAILURES_TO_EJECT or state.is_ejected:
             return False
-        self.eject(name, min(EJECT_MAX_S, EJECT_S * 2**state.ejections))
+        self.eject(name, min(MAX_EJECTION_S, INITIAL_EJECTION_S * 2**state.ejections))
         state.ejections += 1
         state.failures = 0
         return True
 
     def eject(self, name: str, seconds: float):
-        """Keep new work from a target for a while."""
+        """Send no new requests to a target for a number of seconds."""
         state = self.states.get(name)
         if state is not None:
             state.ejected_until = trio.current_time() + seconds
-            # It comes back with one slot at first and is warmed up.
-            state.warm_since = state.ejected_until
+            # After the ejection the target starts with one slot and warms up.
+            state.ramp_started_at = state.ejected_until
 
-    def note_probe(self, name: str, news: ProbeNews):
-        """Take in what a prober found."""
+    def note_probe(self, name: str, result: ProbeResult):
+        """Record the result of a health check, made by this VM or another one."""
         state = self.states.get(name)
         if state is None:
             return
         now = trio.current_time()
-        came_back = state.probe is not None and not state.probe.healthy
-        if came_back and news.healthy:
+        was_unhealthy = state.probe is not None and not state.probe.healthy
+        if was_unhealthy and result.healthy:
             state.restart_ramp()
-        state.probe, state.probe_at = news, now
-        if news.draining:
+        state.probe, state.probe_at = result, now
+        if result.draining:
             state.draining_at = now
 
     def note_service_time(self, pool: str, seconds: float):
-        """Take a measured time in a slot into the pool's average."""
-        known = self.service_time.get(pool, seconds)
-        self.service_time[pool] = known + (seconds - known) * SERVICE_TIME_WEIGHT
+        """Add a measured service time to the moving average of a pool."""
+        average_s = self.service_time.get(pool, seconds)
+        self.service_time[pool] = average_s + (seconds - average_s) * POOL_TIME_WEIGHT
 
     def capacity(self, pool: Pool, failure_domain: str) -> float:
-        """Return the requests a second that a domain's usable targets can run."""
+        """Return the requests per second that a domain's usable targets can run."""
         seconds = self.service_time.get(pool.name, pool.service_time_s)
         slots = sum(
-            pool.slots * state.warmth
+            pool.slots * state.ramp_fraction
             for state in self.usable(pool.name, failure_domain)
         )
         return slots / max(seconds, 0.001)
