--- a/tests/platform/soak/__main__.py
+++ b/tests/platform/soak/__main__.py
@@ -16,22 +16,22 @@
 
 from tests.platform.store_standin import running_store
 
-from .callers import PATIENCE_S, Seen, make_callers
-from .faults import STALL_S, Faults, draw
+from .callers import RESPONSE_TIMEOUT_S, SentRequest, make_callers
+from .faults import STALL_THRESHOLD_S, FaultInjector, draw_faults
 from .processes import running_vms
-from .promises import Findings, Promises
-from .settings import RECOVERY_S, START_S, SoakSettings
-from .signals import SERIES, draw_signals, run_signals
-from .waits import READ_PERIOD_S, scheduled_s
+from .promises import Findings, InvariantChecker
+from .settings import RECOVERY_S, START_TIMEOUT_S, SoakSettings
+from .signals import SIGNAL_SEQUENCES, draw_signals, run_signals
+from .waits import SAMPLE_PERIOD_S, cpu_times_s
 from .world import running_world
 
 END_PHASE_S = 6.0
-SHOWN_EACH = 3
-KEPT_LOGS = Path("target") / "soak"
-ENDING = (signal.SIGTERM, signal.SIGINT)
+EXAMPLES_PER_RULE = 3
+SAVED_LOGS = Path("target") / "soak"
+TERMINATION_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
 
-class ToldToEnd(Exception):
+class SoakTerminated(Exception):
     """The soak got a signal that ends it."""
 
 
@@ -70,79 +70,87 @@
     began_at = time.monotonic()
     with tempfile.TemporaryDirectory(prefix="soak-") as folder:
         try:
-            report = trio.run(_soak_unless_ended, settings, Path(folder))
+            report = trio.run(_run_until_signal, settings, Path(folder))
         except BaseExceptionGroup as group:
             # Nested too deep to be printed; what ended the soak is at the leaves.
-            causes = [f"{type(e).__name__}: {e}" for e in _leaves(group)]
-            kept = _keep(Path(folder), seed)
+            causes = [f"{type(e).__name__}: {e}" for e in _leaf_exceptions(group)]
+            kept = _save_logs(Path(folder), seed)
             print(json.dumps({"seed": seed, "failed": causes, "logs": kept}))
             sys.exit(ExitCode.FAILED)
         if report["violations"]:
-            report["logs"] = _keep(Path(folder), seed)
+            report["logs"] = _save_logs(Path(folder), seed)
     report["seconds"] = round(time.monotonic() - began_at, 1)
     print(json.dumps(report))
     sys.exit(ExitCode.VIOLATED if report["violations"] else ExitCode.OK)
 
 
-async def _soak_unless_ended(settings: SoakSettings, folder: Path) -> dict:
+async def _run_until_signal(settings: SoakSettings, folder: Path) -> dict:
     """Run a soak, which ends its VMs, until it is over or a signal comes."""
-    with trio.open_signal_receiver(*ENDING) as signals:
+    with trio.open_signal_receiver(*TERMINATION_SIGNALS) as signals:
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(_raise_if_told_to_end, signals)
+            nursery.start_soon(_raise_on_signal, signals)
             report = await _soak(settings, folder)
             nursery.cancel_scope.cancel()
     return report
 
 
-async def _raise_if_told_to_end(signals):
+async def _raise_on_signal(signals):
     async for number in signals:
-        raise ToldToEnd(f"told to end by {signal.Signals(number).name}")
+        raise SoakTerminated(f"told to end by {signal.Signals(number).name}")
 
 
 async def _soak(settings: SoakSettings, folder: Path) -> dict:
-    seen: list[Seen] = []
-    plan, series = draw(settings), draw_signals(settings)
+    requests: list[SentRequest] = []
+    plan, sequences = draw_faults(settings), draw_signals(settings)
     async with running_world(settings) as world:
         async with running_store(world.store) as store_address:
             async with running_vms(settings, store_address, folder) as vms:
-                await _until_ready(vms)
-                faults = Faults(world, vms)
-                callers = make_callers(world, vms, seen, settings.callers)
+                await _wait_until_ready(vms)
+                injector = FaultInjector(world, vms)
+                callers = make_callers(world, vms, requests, settings.callers)
                 async with trio.open_nursery() as load:
-                    load.start_soon(faults.watch_own_stalls)
+                    load.start_soon(injector.watch_own_stalls)
                     for caller in callers:
                         load.start_soon(caller.run)
-                    async with trio.open_nursery() as disturbing:
-                        disturbing.start_soon(faults.run, plan)
-                        disturbing.start_soon(run_signals, faults, series)
+                    async with trio.open_nursery() as fault_nursery:
+                        fault_nursery.start_soon(injector.run, plan)
+                        fault_nursery.start_soon(run_signals, injector, sequences)
                     await trio.sleep(RECOVERY_S)
                     settled_at = trio.current_time()
                     await trio.sleep(END_PHASE_S)
                     load.cancel_scope.cancel()
                 ended_at = trio.current_time()
-                await _until_run_again(vms, ended_at)
-                promises = Promises(world, vms, seen, faults.disturbances)
-                findings = promises.check(settled_at, ended_at)
-                report = _report(settings, plan, seen, findings, faults.stalls_s)
-                report["vms_on_processors"] = _on_processors(vms)
-                done = [d.kind for d in faults.disturbances if d.kind in SERIES]
+                await _wait_until_scheduled(vms, ended_at)
+                checker = InvariantChecker(world, vms, requests, injector.disturbances)
+                findings = checker.check(settled_at, ended_at)
+                report = _build_report(
+                    settings, plan, requests, findings, injector.stalls_s
+                )
+                report["vms_on_processors"] = _cpu_times(vms)
+                done = [
+                    d.kind for d in injector.disturbances if d.kind in SIGNAL_SEQUENCES
+                ]
                 report["signals"] = dict(Counter(done))
-                report["while_stopping"] = _while_stopping(vms, seen)
+                report["while_stopping"] = _requests_while_stopping(vms, requests)
     return report
 
 
-async def _until_ready(vms):
+async def _wait_until_ready(vms):
     """Wait until each VM says in its log that it serves.
 
     Time in which it, or this process, waited for a processor does not count.
     """
     for vm in vms:
         began_at = trio.current_time()
-        own_s, vm_s = scheduled_s(os.getpid())[1], vm.waited_s
+        own_waited_s, vm_waited_s = cpu_times_s(os.getpid())[1], vm.waited_s
         while not vm.is_ready:
-            waited_s = max(scheduled_s(os.getpid())[1] - own_s, vm.waited_s - vm_s, 0.0)
+            waited_s = max(
+                cpu_times_s(os.getpid())[1] - own_waited_s,
+                vm.waited_s - vm_waited_s,
+                0.0,
+            )
             took_s = trio.current_time() - began_at
-            if took_s - waited_s > START_S + 0.2 * len(vms):
+            if took_s - waited_s > START_TIMEOUT_S + 0.2 * len(vms):
                 raise TimeoutError(
                     f"{vm.name} was not ready after {took_s:.1f} s, of which it or the "
                     f"soak waited {waited_s:.1f} s for a processor"
@@ -150,68 +158,70 @@
             await trio.sleep(0.1)
 
 
-async def _until_run_again(vms, since: float):
+async def _wait_until_scheduled(vms, since: float):
     """Wait until each VM has run, so that the kernel has counted its last wait."""
-    with trio.move_on_after(PATIENCE_S):
+    with trio.move_on_after(RESPONSE_TIMEOUT_S):
         while any(vm.waits.ran_after < since for vm in vms):
-            await trio.sleep(READ_PERIOD_S)
+            await trio.sleep(SAMPLE_PERIOD_S)
 
 
-def _on_processors(vms) -> dict:
+def _cpu_times(vms) -> dict:
     """Return how long each VM ran and waited, and its longer waits, in seconds."""
     return {
         vm.name: {
             "ran_s": round(vm.waits.ran_s, 2),
             "waited_s": round(vm.waits.waited_s, 2),
-            "stalls_s": vm.waits.longer_than(STALL_S),
+            "stalls_s": vm.waits.longer_than(STALL_THRESHOLD_S),
         }
         for vm in vms
     }
 
 
-def _while_stopping(vms, seen: list[Seen]) -> dict:
+def _requests_while_stopping(vms, requests: list[SentRequest]) -> dict:
     """Return what callers sent to VMs that were stopping, to see that they do."""
-    stops = {vm.callers: vm.stops for vm in vms}
-    after_s = [
-        (one.sent_at - since, one.is_kept)
-        for one in seen
-        for since, until in stops.get(one.vm, ())
-        if since < one.sent_at < until
+    stops = {vm.request_address: vm.stops for vm in vms}
+    sent_after_stop = [
+        (request.sent_at - since, request.on_reused_connection)
+        for request in requests
+        for since, until in stops.get(request.vm_address, ())
+        if since < request.sent_at < until
     ]
     return {
         "stops": sum(map(len, stops.values())),
-        "requests": len(after_s),
-        "on_kept_connections": sum(is_kept for _, is_kept in after_s),
-        "last_after_s": round(max(after_s, default=(0.0,))[0], 2),
+        "requests": len(sent_after_stop),
+        "on_kept_connections": sum(is_reused for _, is_reused in sent_after_stop),
+        "last_after_s": round(max(sent_after_stop, default=(0.0,))[0], 2),
     }
 
 
-def _leaves(error: BaseException):
+def _leaf_exceptions(error: BaseException):
     if not isinstance(error, BaseExceptionGroup):
         yield error
         return
-    for one in error.exceptions:
-        yield from _leaves(one)
+    for nested in error.exceptions:
+        yield from _leaf_exceptions(nested)
 
 
-def _report(settings, plan, seen, findings: Findings, stalls_s) -> dict:
+def _build_report(settings, plan, requests, findings: Findings, stalls_s) -> dict:
     return {
         "seed": settings.seed,
         "duration_s": settings.duration_s,
         "vms": settings.vms,
         "faults": dict(Counter(fault.kind for fault in plan)),
         "stalls_s": stalls_s,
-        "requests": len(seen),
-        "statuses": dict(Counter(str(one.status) for one in seen)),
+        "requests": len(requests),
+        "statuses": dict(Counter(str(request.status) for request in requests)),
         "violations": {rule: len(lines) for rule, lines in findings.by_rule.items()},
-        "first": {r: lines[:SHOWN_EACH] for r, lines in findings.by_rule.items()},
-        "excused_by_waits": findings.waited,
+        "first": {
+            r: lines[:EXAMPLES_PER_RULE] for r, lines in findings.by_rule.items()
+        },
+        "excused_by_waits": findings.excused_by_waits,
     }
 
 
-def _keep(folder: Path, seed: int) -> str:
+def _save_logs(folder: Path, seed: int) -> str:
     """Keep the logs of a run that broke a promise or did not end."""
-    kept = KEPT_LOGS / f"seed-{seed}"
+    kept = SAVED_LOGS / f"seed-{seed}"
     shutil.rmtree(kept, ignore_errors=True)
     shutil.copytree(folder, kept)
     return str(kept)
--- a/tests/platform/soak/faults.py
+++ b/tests/platform/soak/faults.py
@@ -8,15 +8,24 @@
 
 from .processes import Vm
 from .settings import SoakSettings
-from .world import LARGE, SMALL, Target, World
+from .world import LARGE_WORKSPACE, SMALL_WORKSPACE, Target, World
 
 # Scope of a disturbance that touches everything.
-ALL = "all"
+SCOPE_ALL = "all"
 # How often the soak looks whether it stood still, and how late is a stall: half
 # of the least time that a check allows beyond a bound.
-STALL_PERIOD_S = 0.1
-STALL_S = 0.5
-SPOILS = ("unsigned", "truncated", "reset", "extra", "after", "fails", "cut", "garbage")
+STALL_CHECK_PERIOD_S = 0.1
+STALL_THRESHOLD_S = 0.5
+RESPONSE_FAULTS = (
+    "unsigned",
+    "truncated",
+    "reset",
+    "extra",
+    "after",
+    "fails",
+    "cut",
+    "garbage",
+)
 
 
 @frozen
@@ -27,16 +36,16 @@
     ----------
     kind : str
         Name of a method of `Faults`.
-    at, for_s : float
+    at, duration_s : float
         Seconds from the start of the load, and how long it lasts.
     number : int
         Draws which VM or target it hits.
     """
 
     kind: str
-    at: float
-    for_s: float
-    number: int
+    start_s: float
+    duration_s: float
+    random_bits: int
 
 
 @define
@@ -55,7 +64,7 @@
     ended_at: float = float("inf")
 
 
-KINDS = (
+FAULT_KINDS = (
     "store_down",
     "store_silent",
     "store_slow",
@@ -81,23 +90,23 @@
 )
 
 
-def draw(settings: SoakSettings) -> list[Fault]:
+def draw_faults(settings: SoakSettings) -> list[Fault]:
     """Return the faults of a soak; some come in series, many overlap."""
     rng = random.Random(f"{settings.seed}/faults")
     faults = []
     at = 1.0
     while at < settings.duration_s:
-        kind = rng.choice(KINDS)
+        kind = rng.choice(FAULT_KINDS)
         for turn in range(3 if rng.random() < 0.15 else 1):
             begins = at + turn * rng.uniform(0.2, 1.5)
             faults.append(
                 Fault(kind, begins, rng.uniform(0.3, 4.0), rng.getrandbits(16))
             )
         at += rng.expovariate(settings.faults_per_s)
-    return sorted(faults, key=lambda fault: fault.at)
+    return sorted(faults, key=lambda fault: fault.start_s)
 
 
-class Faults:
+class FaultInjector:
     """Does faults, and keeps which times they disturb.
 
     Parameters
@@ -118,18 +127,20 @@
         What it then measures of times is not the gateways' doing.
         """
         while True:
-            woken_at = trio.current_time() + STALL_PERIOD_S
+            woken_at = trio.current_time() + STALL_CHECK_PERIOD_S
             try:
-                await trio.sleep(STALL_PERIOD_S)
+                await trio.sleep(STALL_CHECK_PERIOD_S)
             finally:
                 # Also when the load ends in the moment in which a stall does.
-                self._note_stall(woken_at)
+                self._record_stall(woken_at)
 
-    def _note_stall(self, woken_at: float):
+    def _record_stall(self, woken_at: float):
         now = trio.current_time()
-        if now - woken_at > STALL_S:
+        if now - woken_at > STALL_THRESHOLD_S:
             self.stalls_s.append(round(now - woken_at, 2))
-            stall = Disturbance("stall", ALL, woken_at - STALL_PERIOD_S, now)
+            stall = Disturbance(
+                "stall", SCOPE_ALL, woken_at - STALL_CHECK_PERIOD_S, now
+            )
             self.disturbances.append(stall)
 
     async def run(self, plan: list[Fault]):
@@ -137,194 +148,196 @@
         began_at = trio.current_time()
         async with trio.open_nursery() as nursery:
             for fault in plan:
-                await trio.sleep_until(began_at + fault.at)
+                await trio.sleep_until(began_at + fault.start_s)
                 nursery.start_soon(getattr(self, fault.kind), fault)
 
-    async def _during(self, fault: Fault, *scopes: str):
+    async def _disturb(self, fault: Fault, *scopes: str):
         """Wait for as long as a fault lasts, as a disturbance of its scopes."""
         now = trio.current_time()
-        noted = [Disturbance(fault.kind, scope, now) for scope in scopes]
-        self.disturbances += noted
-        await trio.sleep(fault.for_s)
-        return noted
+        disturbances = [Disturbance(fault.kind, scope, now) for scope in scopes]
+        self.disturbances += disturbances
+        await trio.sleep(fault.duration_s)
+        return disturbances
 
-    def _end(self, noted: list[Disturbance]):
-        for one in noted:
-            one.ended_at = trio.current_time()
+    def _end_disturbances(self, disturbances: list[Disturbance]):
+        for disturbance in disturbances:
+            disturbance.ended_at = trio.current_time()
 
-    def _vm(self, fault: Fault) -> Vm:
-        return self.vms[fault.number % len(self.vms)]
+    def _pick_vm(self, fault: Fault) -> Vm:
+        return self.vms[fault.random_bits % len(self.vms)]
 
-    def _target(self, fault: Fault) -> Target:
-        return self.world.targets[fault.number % len(self.world.targets)]
+    def _pick_target(self, fault: Fault) -> Target:
+        return self.world.targets[fault.random_bits % len(self.world.targets)]
 
     # The store.
 
     async def store_down(self, fault: Fault):
         """Answer all calls with 503."""
-        await self._store_answers(fault, "busy")
+        await self._apply_store_mode(fault, "busy")
 
     async def store_silent(self, fault: Fault):
         """Answer no call."""
-        await self._store_answers(fault, "silent")
+        await self._apply_store_mode(fault, "silent")
 
-    async def _store_answers(self, fault: Fault, how: str):
-        self.world.store.answers = how
-        noted = await self._during(fault, "store")
+    async def _apply_store_mode(self, fault: Fault, mode: str):
+        self.world.store.answers = mode
+        disturbances = await self._disturb(fault, "store")
         self.world.store.answers = "yes"
-        self._end(noted)
+        self._end_disturbances(disturbances)
 
     async def store_slow(self, fault: Fault):
         """Delay all that passes between VMs and the store."""
         for vm in self.vms:
-            vm.store.delay_s = 0.2
-        noted = await self._during(fault, "store")
+            vm.store_proxy.delay_s = 0.2
+        disturbances = await self._disturb(fault, "store")
         for vm in self.vms:
-            vm.store.delay_s = 0.0
-        self._end(noted)
+            vm.store_proxy.delay_s = 0.0
+        self._end_disturbances(disturbances)
 
     async def store_loses_answers(self, fault: Fault):
         """Do writes and never answer them."""
         self.world.store.loses_answers = True
-        noted = await self._during(fault, "store")
+        disturbances = await self._disturb(fault, "store")
         self.world.store.loses_answers = False
-        self._end(noted)
+        self._end_disturbances(disturbances)
 
     async def store_forgets(self, fault: Fault):
         """Forget the history, so that watches end with 410."""
         self.world.store.forget_history()
-        self._end(await self._during(fault, "store"))
+        self._end_disturbances(await self._disturb(fault, "store"))
 
     async def store_turns_away(self, fault: Fault):
         """Reset one VM's connections to the store, and refuse new ones."""
-        vm = self._vm(fault)
-        vm.store.accepts = False
-        vm.store.reset_all()
-        noted = await self._during(fault, vm.name)
-        vm.store.heal()
-        self._end(noted)
+        vm = self._pick_vm(fault)
+        vm.store_proxy.accepts = False
+        vm.store_proxy.reset_all()
+        disturbances = await self._disturb(fault, vm.name)
+        vm.store_proxy.clear_faults()
+        self._end_disturbances(disturbances)
 
     async def store_cut_one_way(self, fault: Fault):
         """Let calls reach the store, and no answer come back."""
-        vm = self._vm(fault)
-        vm.store.backward = False
-        noted = await self._during(fault, vm.name)
-        vm.store.heal()
-        self._end(noted)
+        vm = self._pick_vm(fault)
+        vm.store_proxy.backward = False
+        disturbances = await self._disturb(fault, vm.name)
+        vm.store_proxy.clear_faults()
+        self._end_disturbances(disturbances)
 
     # Targets.
 
     async def target_silent(self, fault: Fault):
         """Let nothing pass to and from a target; connections stay open."""
-        target = self._target(fault)
-        target.door.forward = target.door.backward = False
-        noted = await self._during(fault, target.instance)
-        target.door.heal()
-        self._end(noted)
+        target = self._pick_target(fault)
+        target.proxy.forward = target.proxy.backward = False
+        disturbances = await self._disturb(fault, target.instance)
+        target.proxy.clear_faults()
+        self._end_disturbances(disturbances)
 
     async def target_slow(self, fault: Fault):
         """Delay what passes to and from a target."""
-        target = self._target(fault)
-        target.door.delay_s = 0.3
-        noted = await self._during(fault, target.instance)
-        target.door.heal()
-        self._end(noted)
+        target = self._pick_target(fault)
+        target.proxy.delay_s = 0.3
+        disturbances = await self._disturb(fault, target.instance)
+        target.proxy.clear_faults()
+        self._end_disturbances(disturbances)
 
     async def target_resets(self, fault: Fault):
         """Reset a target's connections, again and again."""
-        target = self._target(fault)
-        noted = await self._during(Fault(fault.kind, 0, 0, 0), target.instance)
-        until = trio.current_time() + fault.for_s
+        target = self._pick_target(fault)
+        disturbances = await self._disturb(Fault(fault.kind, 0, 0, 0), target.instance)
+        until = trio.current_time() + fault.duration_s
         while trio.current_time() < until:
-            target.door.reset_all()
+            target.proxy.reset_all()
             await trio.sleep(0.2)
-        self._end(noted)
+        self._end_disturbances(disturbances)
 
     async def target_spoils(self, fault: Fault):
         """Have a target's next answers go wrong."""
-        target = self._target(fault)
-        rng = random.Random(fault.number)
-        target.spoils += [rng.choice(SPOILS) for _ in range(6)]
-        self._end(await self._during(fault, target.instance))
+        target = self._pick_target(fault)
+        rng = random.Random(fault.random_bits)
+        target.spoils += [rng.choice(RESPONSE_FAULTS) for _ in range(6)]
+        self._end_disturbances(await self._disturb(fault, target.instance))
 
     async def target_leaves(self, fault: Fault):
         """Drain a target, end it, and have it come back cold."""
-        target = self._target(fault)
-        if target.leaving_at is not None:
+        target = self._pick_target(fault)
+        if target.draining_since is not None:
             return
         self.world.register(target, state="draining")
-        target.leaving_at = trio.current_time()
+        target.draining_since = trio.current_time()
         await trio.sleep(4.0)
-        await self._away(target, fault)
+        await self._take_target_down(target, fault)
 
     async def target_crashes(self, fault: Fault):
         """End a target at once; its entry goes some time later."""
-        target = self._target(fault)
-        if target.leaving_at is None:
-            await self._away(target, fault)
-
-    async def _away(self, target: Target, fault: Fault):
-        target.door.accepts = False
-        target.door.reset_all()
-        noted = await self._during(fault, target.instance)
-        with_entry = self.world.store.objects["servers"].get(target.instance)
-        if with_entry:
+        target = self._pick_target(fault)
+        if target.draining_since is None:
+            await self._take_target_down(target, fault)
+
+    async def _take_target_down(self, target: Target, fault: Fault):
+        target.proxy.accepts = False
+        target.proxy.reset_all()
+        disturbances = await self._disturb(fault, target.instance)
+        entry = self.world.store.objects["servers"].get(target.instance)
+        if entry:
             self.world.store.delete("servers", target.instance)
         await trio.sleep(0.5)
-        target.door.heal()
-        target.leaving_at = None
+        target.proxy.clear_faults()
+        target.draining_since = None
         self.world.register(
-            target, warmupLeft="500ms", born=1796000000000 + fault.number
+            target, warmupLeft="500ms", born=1796000000000 + fault.random_bits
         )
-        self._end(noted)
+        self._end_disturbances(disturbances)
 
     # VMs.
 
     async def vm_pause(self, fault: Fault):
         """Stop a process for a while."""
-        vm = self._vm(fault)
+        vm = self._pick_vm(fault)
         vm.send(signal.SIGSTOP)
-        noted = await self._during(fault, vm.name)
+        disturbances = await self._disturb(fault, vm.name)
         vm.send(signal.SIGCONT)
-        self._end(noted)
+        self._end_disturbances(disturbances)
 
     async def vm_kill(self, fault: Fault):
         """Kill a process; it is started again."""
-        vm = self._vm(fault)
+        vm = self._pick_vm(fault)
         vm.kill()
-        self._end(await self._during(fault, vm.name))
+        self._end_disturbances(await self._disturb(fault, vm.name))
 
     async def many_killed(self, fault: Fault):
         """Kill half of all processes at once."""
-        hit = self.vms[fault.number % 2 :: 2]
-        for vm in hit:
+        killed = self.vms[fault.random_bits % 2 :: 2]
+        for vm in killed:
             vm.kill()
-        self._end(await self._during(fault, *(vm.name for vm in hit)))
+        self._end_disturbances(await self._disturb(fault, *(vm.name for vm in killed)))
 
     async def vm_stop(self, fault: Fault):
         """Stop a process as planned; it is started again."""
-        vm = self._vm(fault)
-        noted = [Disturbance(fault.kind, vm.name, trio.current_time())]
-        self.disturbances += noted
+        vm = self._pick_vm(fault)
+        disturbances = [Disturbance(fault.kind, vm.name, trio.current_time())]
+        self.disturbances += disturbances
         await vm.stop()
-        self._end(noted)
+        self._end_disturbances(disturbances)
 
     async def vm_hup(self, fault: Fault):
         """Change a settings file, with a signal or without."""
-        vm = self._vm(fault)
+        vm = self._pick_vm(fault)
         vm.change_settings()
-        if fault.number % 3:
+        if fault.random_bits % 3:
             vm.send(signal.SIGHUP)
 
     # The operator.
 
     async def key_withdrawn(self, fault: Fault):
         """Replace a workspace's key."""
-        self.world.drop_key(LARGE if fault.number % 3 else SMALL)
+        self.world.replace_key(
+            LARGE_WORKSPACE if fault.random_bits % 3 else SMALL_WORKSPACE
+        )
 
     async def route_changed(self, fault: Fault):
         """Add a route, or drop it."""
-        self.world.change_route(f"extra-{fault.number % 2}")
+        self.world.toggle_route(f"extra-{fault.random_bits % 2}")
 
     async def configurations(self, fault: Fault):
         """Write configurations in quick succession."""
@@ -335,10 +348,10 @@
     async def domain_evacuated(self, fault: Fault):
         """Evacuate a failure domain and take it back."""
         domains = self.world.settings.domains
-        name = f"domain-{fault.number % domains}"
+        name = f"domain-{fault.random_bits % domains}"
         evacuations = self.world.store.objects.get("evacuations", {})
         if name in evacuations:
             return
         self.world.store.put("evacuations", name, {})
-        await trio.sleep(max(2.0, fault.for_s))
+        await trio.sleep(max(2.0, fault.duration_s))
         self.world.store.delete("evacuations", name)
--- a/tests/platform/soak/processes.py
+++ b/tests/platform/soak/processes.py
@@ -14,12 +14,12 @@
 
 from .proxy import Proxy, running_proxy
 from .settings import GRACE_S, SoakSettings
-from .waits import Waits, scheduled_s
+from .waits import CpuWaits, cpu_times_s
 
-PROGRAM = (sys.executable, "-m", "plantainshed_platform")
-RESTART_S = 0.3
-STARTED = b'"message":"start"'
-READY = b'"message":"ready"'
+GATEWAY_COMMAND = (sys.executable, "-m", "plantainshed_platform")
+RESTART_DELAY_S = 0.3
+STARTED_MESSAGE = b'"message":"start"'
+READY_MESSAGE = b'"message":"ready"'
 # A killed process is over at once; one that was told to stop after its grace.
 KILL_AFTER_S = GRACE_S + 2.0
 
@@ -30,20 +30,20 @@
 
     Attributes
     ----------
-    store : Proxy
+    store_proxy : Proxy
         Its way to the store.
     process : trio.Process or None
     stopping_since : float or None
         When it was told to stop.
     was_starting : bool
         Whether it had not written its first line when it was told to stop.
-    sent : list of str
+    sent_signals : list of str
         Signals that the present process was sent.
-    wrong_ends : list of str
+    unexpected_exits : list of str
         How processes ended that should have gone on, or ended otherwise.
-    late : list of tuple
+    late_exits : list of tuple
         From when until when a process that was told to stop had not ended.
-    not_ready : list of str
+    failed_starts : list of str
         Processes that were hung up while they started and did not get ready.
     stops : list of tuple
         From when until when processes stopped.
@@ -54,59 +54,59 @@
     name: str
     failure_domain: str
     ip: str
-    store: Proxy
-    settings: Path
-    log: Path
+    store_proxy: Proxy
+    settings_file: Path
+    log_file: Path
     ports: list[int]
-    program: tuple[str, ...] = PROGRAM
+    command: tuple[str, ...] = GATEWAY_COMMAND
     process: trio.Process | None = None
     stopping_since: float | None = None
     was_starting: bool = False
     is_killed: bool = False
-    revision: int = 0
-    log_from: int = 0
-    sent: list[str] = field(factory=list)
-    wrong_ends: list[str] = field(factory=list)
-    late: list[tuple[float, float]] = field(factory=list)
-    not_ready: list[str] = field(factory=list)
+    settings_revision: int = 0
+    log_offset: int = 0
+    sent_signals: list[str] = field(factory=list)
+    unexpected_exits: list[str] = field(factory=list)
+    late_exits: list[tuple[float, float]] = field(factory=list)
+    failed_starts: list[str] = field(factory=list)
     stops: list[tuple[float, float]] = field(factory=list)
-    waits: Waits = field(factory=Waits)
+    waits: CpuWaits = field(factory=CpuWaits)
 
     @property
-    def callers(self) -> str:
+    def request_address(self) -> str:
         """Where callers connect."""
         return f"{self.ip}:{self.ports[0]}"
 
     @property
-    def lookup(self) -> str:
+    def lookup_address(self) -> str:
         """Where look-ups are answered."""
         return f"{self.ip}:{self.ports[2]}"
 
     @property
-    def runs(self) -> bool:
+    def is_running(self) -> bool:
         """Whether there is a process."""
         return self.process is not None and self.process.returncode is None
 
     @property
     def is_ready(self) -> bool:
         """Whether the present process has said that it serves."""
-        return self.runs and self.has_written(READY)
+        return self.is_running and self.has_logged(READY_MESSAGE)
 
     @property
     def waited_s(self) -> float:
         """How long the present process has waited for a processor."""
-        return scheduled_s(self.process.pid)[1] if self.runs else 0.0
+        return cpu_times_s(self.process.pid)[1] if self.is_running else 0.0
 
-    def has_written(self, line: bytes) -> bool:
+    def has_logged(self, line: bytes) -> bool:
         """Tell whether the present process has written a line."""
-        with self.log.open("rb") as written:
-            written.seek(self.log_from)
-            return line in written.read()
+        with self.log_file.open("rb") as log:
+            log.seek(self.log_offset)
+            return line in log.read()
 
     def send(self, number: int):
         """Send a signal, if the process runs."""
-        if self.runs:
-            self.sent.append(signal.Signals(number).name)
+        if self.is_running:
+            self.sent_signals.append(signal.Signals(number).name)
             self.process.send_signal(number)
 
     async def run(self):
@@ -114,83 +114,87 @@
         try:
             while True:
                 await self._run_once()
-                await trio.sleep(RESTART_S)
+                await trio.sleep(RESTART_DELAY_S)
         finally:
             self.send(signal.SIGCONT)
             self.send(signal.SIGKILL)
             with trio.CancelScope(shield=True):
-                await self._until_ended()
+                await self._wait_for_exit()
 
-    async def _until_ended(self):
+    async def _wait_for_exit(self):
         if self.process is not None:
             await self.process.wait()
 
     async def _run_once(self):
-        with self.log.open("ab") as out:
-            self.log_from = out.tell()
-            self.waits.begin()
+        with self.log_file.open("ab") as out:
+            self.log_offset = out.tell()
+            self.waits.start_process()
             process = await trio.lowlevel.open_process(
-                self.program,
-                env={**os.environ, "PLANTAINSHED_NODE_FILE": str(self.settings)},
+                self.command,
+                env={**os.environ, "PLANTAINSHED_NODE_FILE": str(self.settings_file)},
                 stdout=out,
                 stderr=subprocess.STDOUT,
             )
         # Only now: what came meanwhile was for the process before, or for none.
         self.process, self.stopping_since, self.is_killed = process, None, False
-        self.sent = []
+        self.sent_signals = []
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.waits.watch, process)
             await process.wait()
             nursery.cancel_scope.cancel()
-        self.note_end(process.returncode)
+        self.record_exit(process.returncode)
 
-    def note_end(self, status: int):
+    def record_exit(self, status: int):
         """Judge how the process ended.
 
         One that was told to stop ends with 0, whatever else it was sent. Only
         before its first line it cannot know better than the system, which ends it.
         """
-        sent = " ".join(self.sent[-6:]) or "no signal"
+        sent = " ".join(self.sent_signals[-6:]) or "no signal"
         line = f"ended with status {status} after {sent}"
         if self.stopping_since is None:
             if not (self.is_killed and status == -signal.SIGKILL):
-                self.wrong_ends.append(f"{line}, not told to stop")
+                self.unexpected_exits.append(f"{line}, not told to stop")
             return
         now = trio.current_time()
         self.stops.append((self.stopping_since, now))
-        is_right = (
+        is_expected = (
             status == 0
             or (self.is_killed and status == -signal.SIGKILL)
             or (self.was_starting and status == -signal.SIGTERM)
         )
-        if not is_right:
+        if not is_expected:
             since_s = now - self.stopping_since
-            self.wrong_ends.append(f"{line}, {since_s:.2f} s after it was told to stop")
+            self.unexpected_exits.append(
+                f"{line}, {since_s:.2f} s after it was told to stop"
+            )
 
     def kill(self):
         """End the process as a crash does."""
-        self.is_killed = self.is_killed or self.runs
+        self.is_killed = self.is_killed or self.is_running
         self.send(signal.SIGCONT)
         self.send(signal.SIGKILL)
 
     async def stop(self):
         """Tell the process to stop, and see to it that it does."""
-        if self.stopping_since is not None or not self.runs:
+        if self.stopping_since is not None or not self.is_running:
             return
         process, self.stopping_since = self.process, trio.current_time()
-        self.was_starting = not self.has_written(STARTED)
+        self.was_starting = not self.has_logged(STARTED_MESSAGE)
         self.send(signal.SIGTERM)
         with trio.move_on_after(KILL_AFTER_S):
             await process.wait()
             return
-        self.late.append((self.stopping_since, trio.current_time()))
+        self.late_exits.append((self.stopping_since, trio.current_time()))
         self.kill()
 
     def change_settings(self):
         """Write the settings file anew, with a field that it does not know."""
-        self.revision += 1
-        text = self.settings.read_text().partition("[future]")[0]
-        self.settings.write_text(f"{text}[future]\nrevision = {self.revision}\n")
+        self.settings_revision += 1
+        text = self.settings_file.read_text().partition("[future]")[0]
+        self.settings_file.write_text(
+            f"{text}[future]\nrevision = {self.settings_revision}\n"
+        )
 
 
 @contextlib.asynccontextmanager
@@ -198,17 +202,17 @@
     """Run all gateways for the length of a block."""
     ports = free_ports(6)
     # Soaks that run at once have each a range of loopback addresses.
-    net = 1 + (os.getpid() % 250)
+    subnet = 1 + (os.getpid() % 250)
     domains = [f"domain-{n}" for n in range(settings.domains)]
     zones = "".join(f"{name} = region-{n % 2}\n" for n, name in enumerate(domains))
-    ips = [f"127.{net}.{n % settings.domains}.{n + 1}" for n in range(settings.vms)]
+    ips = [f"127.{subnet}.{n % settings.domains}.{n + 1}" for n in range(settings.vms)]
     vms = []
     async with contextlib.AsyncExitStack() as stack:
         for number, ip in enumerate(ips):
             domain = number % settings.domains
             proxy = await stack.enter_async_context(running_proxy(store_address))
-            file = folder / f"vm-{number}.ini"
-            file.write_text(
+            settings_file = folder / f"vm-{number}.ini"
+            settings_file.write_text(
                 filled_template(
                     proxy.address,
                     ports,
@@ -221,8 +225,18 @@
                     **{"bounds.grace": f"{GRACE_S:g}s"},
                 )
             )
-            log = folder / f"vm-{number}.log"
-            vms.append(Vm(f"vm-{number}", domains[domain], ip, proxy, file, log, ports))
+            log_file = folder / f"vm-{number}.log"
+            vms.append(
+                Vm(
+                    f"vm-{number}",
+                    domains[domain],
+                    ip,
+                    proxy,
+                    settings_file,
+                    log_file,
+                    ports,
+                )
+            )
         nursery = await stack.enter_async_context(trio.open_nursery())
         for vm in vms:
             nursery.start_soon(vm.run)
--- a/tests/platform/soak/proxy.py
+++ b/tests/platform/soak/proxy.py
@@ -6,7 +6,7 @@
 from attrs import define, field
 
 SOCKET_ERRORS = (trio.BrokenResourceError, trio.ClosedResourceError, OSError)
-PIECE_BYTES = 65536
+CHUNK_BYTES = 65536
 
 
 @define
@@ -34,7 +34,7 @@
     open_streams: set = field(factory=set)
     changed: trio.Event = field(factory=trio.Event)
 
-    def heal(self):
+    def clear_faults(self):
         """Let everything pass again."""
         self.delay_s, self.forward, self.backward, self.accepts = 0.0, True, True, True
         self.wake()
@@ -57,21 +57,25 @@
             return
         host, _, port = self.upstream.rpartition(":")
         try:
-            other = await trio.open_tcp_stream(host, int(port))
+            upstream_stream = await trio.open_tcp_stream(host, int(port))
         except OSError:
             await trio.aclose_forcefully(stream)
             return
-        self.open_streams |= {stream, other}
+        self.open_streams |= {stream, upstream_stream}
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._pass, stream, other, True, nursery.cancel_scope)
-            nursery.start_soon(self._pass, other, stream, False, nursery.cancel_scope)
-        for one in (stream, other):
-            self.open_streams.discard(one)
-            await trio.aclose_forcefully(one)
-
-    async def _pass(self, source, sink, is_forward: bool, scope):
+            nursery.start_soon(
+                self._relay, stream, upstream_stream, True, nursery.cancel_scope
+            )
+            nursery.start_soon(
+                self._relay, upstream_stream, stream, False, nursery.cancel_scope
+            )
+        for endpoint in (stream, upstream_stream):
+            self.open_streams.discard(endpoint)
+            await trio.aclose_forcefully(endpoint)
+
+    async def _relay(self, source, sink, is_forward: bool, scope):
         with contextlib.suppress(*SOCKET_ERRORS):
-            while data := await source.receive_some(PIECE_BYTES):
+            while data := await source.receive_some(CHUNK_BYTES):
                 if self.delay_s:
                     await trio.sleep(self.delay_s)
                 while not (self.forward if is_forward else self.backward):
--- a/tests/platform/soak/settings.py
+++ b/tests/platform/soak/settings.py
@@ -14,7 +14,7 @@
 # After a fault ends, a VM counts as in touch again when this has passed.
 STABLE_S = 3.0
 # A process is ready within this, also on a busy machine.
-START_S = 25.0
+START_TIMEOUT_S = 25.0
 # After the last fault callers must be served again.
 RECOVERY_S = 15.0
 QUOTA_WINDOW_S = 5.0
--- a/tests/platform/soak/world.py
+++ b/tests/platform/soak/world.py
@@ -12,9 +12,9 @@
 from .proxy import Proxy, running_proxy
 from .settings import ROUTE_TIMEOUT_S, SoakSettings
 
-TIMEOUT = f"{ROUTE_TIMEOUT_S * 1000:.0f}ms"
-LARGE, SMALL = "comune", "piccolo"
-RATES = {LARGE: (400, 200), SMALL: (6, 6)}
+ROUTE_TIMEOUT = f"{ROUTE_TIMEOUT_S * 1000:.0f}ms"
+LARGE_WORKSPACE, SMALL_WORKSPACE = "comune", "piccolo"
+RATE_LIMITS = {LARGE_WORKSPACE: (400, 200), SMALL_WORKSPACE: (6, 6)}
 
 
 @define
@@ -23,16 +23,16 @@
 
     Attributes
     ----------
-    door : Proxy
+    proxy : Proxy
         Its address for gateways.
     run_at : list of float
         When each run began.
-    leaving_at : float or None
+    draining_since : float or None
         When the store took its word that it leaves.
     """
 
-    door: Proxy | None = None
-    leaving_at: float | None = None
+    proxy: Proxy | None = None
+    draining_since: float | None = None
 
     def body_for(self, headers):
         """Name the request, so that mixed answers show."""
@@ -47,10 +47,10 @@
     workspace: str
     path: str
     body: bytes
-    at: float
+    started_at: float
     target: str
     has_key: bool
-    was_leaving_for_s: float
+    draining_for_s: float
 
 
 @define
@@ -63,24 +63,24 @@
     runs: list[Run] = field(factory=list)
     version: int = 7
     keys: dict[str, list[str]] = field(
-        factory=lambda: {LARGE: ["large-0"], SMALL: ["small-0"]}
+        factory=lambda: {LARGE_WORKSPACE: ["large-0"], SMALL_WORKSPACE: ["small-0"]}
     )
     # When a key or a route's prefix was taken away, as the store answered.
     revoked_at: dict[str, float] = field(factory=dict)
     dropped_at: dict[str, float] = field(factory=dict)
     # When a key was first in a configuration.
     issued_at: dict[str, float] = field(factory=dict)
-    extra: set[str] = field(factory=set)
+    extra_routes: set[str] = field(factory=set)
 
     def write_configuration(self):
         """Write the next version, as the operator does."""
         self.version += 3
         paths = [
-            route(timeout=TIMEOUT),
-            route("book", "/book/", kind="non_idempotent", timeout=TIMEOUT),
+            route(timeout=ROUTE_TIMEOUT),
+            route("book", "/book/", kind="non_idempotent", timeout=ROUTE_TIMEOUT),
             *(
-                route(name, f"/{name}/", timeout=TIMEOUT, sticky=False)
-                for name in sorted(self.extra)
+                route(name, f"/{name}/", timeout=ROUTE_TIMEOUT, sticky=False)
+                for name in sorted(self.extra_routes)
             ),
         ]
         tenants = [
@@ -88,15 +88,15 @@
                 "name": name,
                 "apiKeys": keys,
                 "priority": 0,
-                "ratePerS": RATES[name][0],
-                "burst": RATES[name][1],
+                "ratePerS": RATE_LIMITS[name][0],
+                "burst": RATE_LIMITS[name][1],
             }
             for name, keys in self.keys.items()
         ]
         spec = configuration(self.version, paths, tenants=tenants)
         self.store.put("config", "main", spec)
 
-    def drop_key(self, workspace: str):
+    def replace_key(self, workspace: str):
         """Replace a workspace's key by another."""
         old = self.keys[workspace][-1]
         self.keys[workspace] = [f"{old.partition('-')[0]}-{self.version}"]
@@ -104,36 +104,36 @@
         self.revoked_at[old] = trio.current_time()
         self.issued_at[self.keys[workspace][-1]] = trio.current_time()
 
-    def change_route(self, name: str):
+    def toggle_route(self, name: str):
         """Add a route, or drop it if it is there."""
-        if name in self.extra:
-            self.extra.discard(name)
+        if name in self.extra_routes:
+            self.extra_routes.discard(name)
             self.write_configuration()
             self.dropped_at[f"/{name}/"] = trio.current_time()
         else:
-            self.extra.add(name)
+            self.extra_routes.add(name)
             self.dropped_at.pop(f"/{name}/", None)
             self.write_configuration()
 
     def register(self, target: Target, **more):
         """Write a target's entry."""
-        spec = entry(target, addr=target.door.address, **more)
+        spec = entry(target, addr=target.proxy.address, **more)
         self.store.put("servers", target.instance, spec)
 
-    def note_run(self, target: Target, run):
+    def record_run(self, target: Target, run):
         """Record what a target began to run."""
         now = trio.current_time()
-        leaving_at = target.leaving_at
+        draining_since = target.draining_since
         self.runs.append(
             Run(
                 request_id=run.request_id,
                 workspace=run.headers.get("tenant", ""),
                 path=run.path,
                 body=run.body,
-                at=now,
+                started_at=now,
                 target=target.instance,
                 has_key="authorization" in run.headers,
-                was_leaving_for_s=0.0 if leaving_at is None else now - leaving_at,
+                draining_for_s=0.0 if draining_since is None else now - draining_since,
             )
         )
 
@@ -147,7 +147,7 @@
 
     def append(self, run):
         """Note a run instead of keeping it."""
-        self.world.note_run(self.target, run)
+        self.world.record_run(self.target, run)
 
 
 @contextlib.asynccontextmanager
@@ -160,11 +160,19 @@
             target.runs = RecordingList(target, world)
             await stack.enter_async_context(running_target(target))
             proxy = running_proxy(target.address)
-            target.door = await stack.enter_async_context(proxy)
+            target.proxy = await stack.enter_async_context(proxy)
             world.targets.append(target)
             world.register(target, zone=f"domain-{number % settings.domains}")
         world.write_configuration()
         yield world
 
 
-__all__ = ["HOST", "LARGE", "SMALL", "Run", "Target", "World", "running_world"]
+__all__ = [
+    "HOST",
+    "LARGE_WORKSPACE",
+    "SMALL_WORKSPACE",
+    "Run",
+    "Target",
+    "World",
+    "running_world",
+]
--- a/tests/platform/test_soak_waits.py
+++ b/tests/platform/test_soak_waits.py
@@ -8,18 +8,23 @@
 
 import trio
 
-from tests.platform.soak.waits import READ_PERIOD_S, Reading, Wait, Waits
+from tests.platform.soak.waits import (
+    SAMPLE_PERIOD_S,
+    CpuWait,
+    CpuWaits,
+    SchedstatSample,
+)
 from tests.support import on_mock_clock, on_real_clock
 
-SLEEPS = (sys.executable, "-c", "import time; time.sleep(60)")
-IS_STOPPED = "T"
+SLEEP_COMMAND = (sys.executable, "-c", "import time; time.sleep(60)")
+STOPPED_STATE = "T"
 
 
-def noted(*counts: tuple[float, float, float]) -> Waits:
+def waits_from_samples(*counts: tuple[float, float, float]) -> CpuWaits:
     """Return what is found by readings of a time, run time and waiting time each."""
-    waits = Waits()
+    waits = CpuWaits()
     for at, ran_s, waited_s in counts:
-        waits.note(Reading(at, at, ran_s, waited_s))
+        waits.add_sample(SchedstatSample(at, at, ran_s, waited_s))
     return waits
 
 
@@ -31,86 +36,88 @@
 class TestWait(unittest.TestCase):
     def test_waiting_that_lies_within_in_any_case(self):
         """A request is excused by waiting that may have been at another time."""
-        whole, some = Wait(10.0, 13.0, 3.0), Wait(10.0, 13.0, 1.0)
-        for wait, since, until, least_s in (
-            (whole, 9.0, 14.0, 3.0),
-            (whole, 11.0, 14.0, 2.0),
-            (whole, 11.0, 12.0, 1.0),
-            (whole, 13.0, 14.0, 0.0),
-            (whole, 8.0, 9.0, 0.0),
-            (some, 9.0, 14.0, 1.0),
-            (some, 10.5, 14.0, 0.5),
-            (some, 11.5, 14.0, 0.0),
-            (some, 10.5, 11.5, 0.0),
+        full, partial = CpuWait(10.0, 13.0, 3.0), CpuWait(10.0, 13.0, 1.0)
+        for wait, since, until, expected_s in (
+            (full, 9.0, 14.0, 3.0),
+            (full, 11.0, 14.0, 2.0),
+            (full, 11.0, 12.0, 1.0),
+            (full, 13.0, 14.0, 0.0),
+            (full, 8.0, 9.0, 0.0),
+            (partial, 9.0, 14.0, 1.0),
+            (partial, 10.5, 14.0, 0.5),
+            (partial, 11.5, 14.0, 0.0),
+            (partial, 10.5, 11.5, 0.0),
         ):
             with self.subTest(wait=wait, since=since, until=until):
-                self.assertAlmostEqual(wait.least_within(since, until), least_s)
+                self.assertAlmostEqual(wait.min_within(since, until), expected_s)
 
 
 class TestWaits(unittest.TestCase):
     def test_wait_that_ended_before_a_reading_began_before_others(self):
         """The kernel counts a wait of seconds at its end, in one reading."""
-        idle = [(10.0 + n * READ_PERIOD_S, 1.0, 0.0) for n in range(60)]
-        waits = noted((9.95, 0.9, 0.0), *idle, (13.0, 1.1, 2.9))
-        self.assertAlmostEqual(waits.least_within(9.9, 13.0), 2.9)
-        self.assertLessEqual(waits.least_within(12.0, 13.0), 1.0)
-        self.assertGreaterEqual(waits.least_within(12.0, 13.0), 0.9)
-        self.assertEqual(waits.least_within(13.0, 16.0), 0.0)
+        idle = [(10.0 + n * SAMPLE_PERIOD_S, 1.0, 0.0) for n in range(60)]
+        waits = waits_from_samples((9.95, 0.9, 0.0), *idle, (13.0, 1.1, 2.9))
+        self.assertAlmostEqual(waits.min_within(9.9, 13.0), 2.9)
+        self.assertLessEqual(waits.min_within(12.0, 13.0), 1.0)
+        self.assertGreaterEqual(waits.min_within(12.0, 13.0), 0.9)
+        self.assertEqual(waits.min_within(13.0, 16.0), 0.0)
         self.assertEqual(waits.longer_than(0.5), [2.9])
 
     def test_wait_began_after_the_process_ran(self):
         """A wait is dated to a time in which the process was seen to run."""
-        waits = noted((10.0, 1.0, 0.0), (11.0, 1.5, 0.0), (12.0, 1.6, 2.5))
-        self.assertEqual(waits.found, [Wait(10.0, 12.0, 2.5)])
+        waits = waits_from_samples((10.0, 1.0, 0.0), (11.0, 1.5, 0.0), (12.0, 1.6, 2.5))
+        self.assertEqual(waits.intervals, [CpuWait(10.0, 12.0, 2.5)])
 
     @on_mock_clock
     async def test_next_process_is_counted_from_its_start(self):
         """The counts of a VM's next process are taken for less than nothing."""
-        waits = noted((0.0, 3.0, 2.0))
+        waits = waits_from_samples((0.0, 3.0, 2.0))
         await trio.sleep(1.0)
-        waits.begin()
-        waits.note(Reading(1.2, 1.2, 0.5, 0.1))
-        self.assertEqual(waits.found[1:], [Wait(1.0, 1.2, 0.1)])
+        waits.start_process()
+        waits.add_sample(SchedstatSample(1.2, 1.2, 0.5, 0.1))
+        self.assertEqual(waits.intervals[1:], [CpuWait(1.0, 1.2, 0.1)])
         self.assertAlmostEqual(waits.waited_s, 2.1)
         self.assertAlmostEqual(waits.ran_s, 3.5)
 
     @on_mock_clock
     async def test_patience_grows_by_what_is_waited(self):
         """A VM that never answers is excused, as its caller gave up in a wait."""
-        waits = Waits()
+        waits = CpuWaits()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.wait_for_3_s, waits)
-            with waits.patience(4.0):
+            with waits.timeout(4.0):
                 await trio.sleep_forever()
         self.assertAlmostEqual(trio.current_time(), 7.0)
-        with waits.patience(4.0):
+        with waits.timeout(4.0):
             await trio.sleep_forever()
         self.assertAlmostEqual(trio.current_time(), 11.0)
 
     async def wait_for_3_s(self, waits):
         await trio.sleep(3.5)
-        waits.note(Reading(3.5, 3.5, 0.1, 3.0))
+        waits.add_sample(SchedstatSample(3.5, 3.5, 0.1, 3.0))
 
     @on_real_clock
     async def test_process_that_stands_still_waits_for_no_processor(self):
         """A VM that is blocked is excused as one that is kept from running."""
-        waits = Waits()
-        waits.begin()
-        process = await trio.lowlevel.open_process(SLEEPS, stderr=subprocess.DEVNULL)
+        waits = CpuWaits()
+        waits.start_process()
+        process = await trio.lowlevel.open_process(
+            SLEEP_COMMAND, stderr=subprocess.DEVNULL
+        )
         try:
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(waits.watch, process)
                 while not waits.ran_s:
-                    await trio.sleep(READ_PERIOD_S)
+                    await trio.sleep(SAMPLE_PERIOD_S)
                 process.send_signal(signal.SIGSTOP)
-                while state_of(process) != IS_STOPPED:
-                    await trio.sleep(READ_PERIOD_S)
+                while state_of(process) != STOPPED_STATE:
+                    await trio.sleep(SAMPLE_PERIOD_S)
                 since = trio.current_time()
                 await trio.sleep(0.5)
                 until = trio.current_time()
                 process.send_signal(signal.SIGCONT)
-                await trio.sleep(4 * READ_PERIOD_S)
+                await trio.sleep(4 * SAMPLE_PERIOD_S)
                 nursery.cancel_scope.cancel()
         finally:
             process.kill()
-        self.assertEqual(waits.least_within(since, until), 0.0)
+        self.assertEqual(waits.min_within(since, until), 0.0)
