--- a/tests/platform/soak/__init__.py
+++ b/tests/platform/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A randomized soak: the real programs as processes, with faults from outside."""
+"""A randomized soak test of real gateway processes under injected faults."""
--- a/tests/platform/soak/__main__.py
+++ b/tests/platform/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Run a soak: ``python -m tests.platform.soak --seed=1 --duration=30``."""
+"""Command line: ``python -m tests.platform.soak --seed=1 --duration=30``."""
 
 import json
 import os
@@ -25,6 +25,7 @@
 from .waits import SAMPLE_PERIOD_S, cpu_times_s
 from .world import running_world
 
+# How long load continues after recovery, to check that callers are served again.
 END_PHASE_S = 6.0
 EXAMPLES_PER_RULE = 3
 SAVED_LOGS = Path("target") / "soak"
@@ -32,11 +33,11 @@
 
 
 class SoakTerminated(Exception):
-    """The soak got a signal that ends it."""
+    """The soak received SIGTERM or SIGINT."""
 
 
 class ExitCode(IntEnum):
-    """What the process ends with."""
+    """Exit status of the soak process."""
 
     OK = 0
     VIOLATED = 1
@@ -46,18 +47,18 @@
 def soak(
     seed: int = 1, duration: float = 30.0, vms: int = 6, domains: int = 3, rate=0.5
 ):
-    """Run one soak; the last line is one JSON object.
+    """Run one soak and print its report as one JSON object on the last line.
 
     Parameters
     ----------
     seed : int
-        Draws the faults and the load.
+        Seeds the random draws of faults and load.
     duration : float
-        Seconds in which faults begin.
+        Period in seconds during which faults start.
     vms, domains : int
-        Gateways, and failure domains that they are spread over.
+        Number of gateways, and of the failure domains they are spread over.
     rate : float
-        Faults a second.
+        Average number of faults per second.
     """
     settings = SoakSettings(
         seed=seed,
@@ -72,7 +73,7 @@
         try:
             report = trio.run(_run_until_signal, settings, Path(folder))
         except BaseExceptionGroup as group:
-            # Nested too deep to be printed; what ended the soak is at the leaves.
+            # The nested groups are too deep to print; the leaves hold the causes.
             causes = [f"{type(e).__name__}: {e}" for e in _leaf_exceptions(group)]
             kept = _save_logs(Path(folder), seed)
             print(json.dumps({"seed": seed, "failed": causes, "logs": kept}))
@@ -85,7 +86,7 @@
 
 
 async def _run_until_signal(settings: SoakSettings, folder: Path) -> dict:
-    """Run a soak, which ends its VMs, until it is over or a signal comes."""
+    """Run a soak to its end, or until a signal arrives; either way stop its VMs."""
     with trio.open_signal_receiver(*TERMINATION_SIGNALS) as signals:
         async with trio.open_nursery() as nursery:
             nursery.start_soon(_raise_on_signal, signals)
@@ -96,7 +97,7 @@
 
 async def _raise_on_signal(signals):
     async for number in signals:
-        raise SoakTerminated(f"told to end by {signal.Signals(number).name}")
+        raise SoakTerminated(f"terminated by {signal.Signals(number).name}")
 
 
 async def _soak(settings: SoakSettings, folder: Path) -> dict:
@@ -136,9 +137,9 @@
 
 
 async def _wait_until_ready(vms):
-    """Wait until each VM says in its log that it serves.
+    """Wait until each VM logs that it is ready to serve.
 
-    Time in which it, or this process, waited for a processor does not count.
+    The timeout excludes time that the VM or this process waited for a CPU.
     """
     for vm in vms:
         began_at = trio.current_time()
@@ -153,20 +154,20 @@
             if took_s - waited_s > START_TIMEOUT_S + 0.2 * len(vms):
                 raise TimeoutError(
                     f"{vm.name} was not ready after {took_s:.1f} s, of which it or the "
-                    f"soak waited {waited_s:.1f} s for a processor"
+                    f"soak waited {waited_s:.1f} s for a CPU"
                 )
             await trio.sleep(0.1)
 
 
 async def _wait_until_scheduled(vms, since: float):
-    """Wait until each VM has run, so that the kernel has counted its last wait."""
+    """Wait until each VM has run again: the kernel counts a wait only when it ends."""
     with trio.move_on_after(RESPONSE_TIMEOUT_S):
         while any(vm.waits.ran_after < since for vm in vms):
             await trio.sleep(SAMPLE_PERIOD_S)
 
 
 def _cpu_times(vms) -> dict:
-    """Return how long each VM ran and waited, and its longer waits, in seconds."""
+    """Return each VM's CPU time, its time waiting for a CPU, and its long waits."""
     return {
         vm.name: {
             "ran_s": round(vm.waits.ran_s, 2),
@@ -178,7 +179,7 @@
 
 
 def _requests_while_stopping(vms, requests: list[SentRequest]) -> dict:
-    """Return what callers sent to VMs that were stopping, to see that they do."""
+    """Summarize requests sent to stopping VMs, to show that the load covers stops."""
     stops = {vm.request_address: vm.stops for vm in vms}
     sent_after_stop = [
         (request.sent_at - since, request.on_reused_connection)
@@ -220,7 +221,7 @@
 
 
 def _save_logs(folder: Path, seed: int) -> str:
-    """Keep the logs of a run that broke a promise or did not end."""
+    """Save the logs of a run that violated an invariant or failed."""
     kept = SAVED_LOGS / f"seed-{seed}"
     shutil.rmtree(kept, ignore_errors=True)
     shutil.copytree(folder, kept)
--- a/tests/platform/soak/callers.py
+++ b/tests/platform/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers as they behave: they cache look-ups and keep their connections."""
+"""Simulated callers that cache look-ups and reuse their connections."""
 
 import contextlib
 import itertools
@@ -15,13 +15,13 @@
 from .world import HOST, LARGE_WORKSPACE, SMALL_WORKSPACE, World
 
 LOOKUP_TTL_S = 2.0
-# Some keep an answered look-up for three times as long, and connections for few
-# requests: a VM that stops hears of them for as long as it takes anything.
+# Some callers cache a look-up three times as long and open new connections often.
+# They keep connecting to a stopping VM for as long as it accepts connections.
 LONG_LOOKUP_TTL_S = 3 * LOOKUP_TTL_S
 FEW_CONNECTION_USES = 4
 DEADLINE_MS = 2500
-# What a caller waits for an answer, beside what its VM waits for a processor: longer
-# than any route's timeout.
+# How long a caller waits for a response, not counting the time its VM waits for a
+# CPU. Longer than the timeout of any route.
 RESPONSE_TIMEOUT_S = 4.0
 MAX_CONNECTION_USES = 40
 _REQUEST_NUMBERS = itertools.count()
@@ -29,15 +29,15 @@
 
 @define
 class SentRequest:
-    """One request as its caller saw it.
+    """A request and its outcome, as its caller observed them.
 
     Attributes
     ----------
     status : int
-        0 if the connection ended without a whole answer, -1 if no connection
-        could be opened.
+        0 if the connection ended without a complete response. If no connection
+        could be opened, nothing is recorded.
     on_reused_connection : bool
-        Whether its connection had served another request before.
+        Whether the connection had carried an earlier request.
     """
 
     request_id: str
@@ -55,13 +55,13 @@
 
     @property
     def is_booking(self) -> bool:
-        """Whether it must not run twice."""
+        """Whether the request is non-idempotent: it must not run twice."""
         return self.path.startswith("/book/")
 
 
 @define
 class Caller:
-    """Sends one request after the other until told to end."""
+    """Sends requests one after the other until cancelled."""
 
     world: World
     vms: list
@@ -79,13 +79,13 @@
     uses: int = 0
 
     async def run(self):
-        """Send until cancelled."""
+        """Send requests at random intervals until cancelled."""
         while True:
             await trio.sleep(self.rng.expovariate(1.0 / self.mean_pause_s))
             await self.send_request()
 
     async def send_request(self):
-        """Send one request and record what comes back."""
+        """Send one request and record its outcome."""
         if not await self._connect():
             return
         request = self._draw_request()
@@ -185,10 +185,11 @@
 
 
 def make_callers(world: World, vms: list, requests: list[SentRequest], count: int):
-    """Return callers in all domains, of both workspaces; the small one sends too much.
+    """Return callers in all failure domains and of both workspaces.
 
-    Look-ups name VMs of the caller's own region: were all callers in one, the
-    other's VMs would serve nobody, and nothing that happens there could be seen.
+    The callers of the small workspace exceed its quota. A look-up returns VMs of the
+    caller's own region: if all callers were in one region, the VMs of the other would
+    serve no requests, and faults there would have no visible effect.
     """
     domains = world.settings.domains
     callers = []
--- a/tests/platform/soak/faults.py
+++ b/tests/platform/soak/faults.py
@@ -1,4 +1,4 @@
-"""Faults drawn from a seed, and how each is done from outside."""
+"""Draws faults from a seed and injects them from outside the gateways."""
 
 import random
 import signal
@@ -10,10 +10,10 @@
 from .settings import SoakSettings
 from .world import LARGE_WORKSPACE, SMALL_WORKSPACE, Target, World
 
-# Scope of a disturbance that touches everything.
+# Scope of a disturbance that affects every VM and target.
 SCOPE_ALL = "all"
-# How often the soak looks whether it stood still, and how late is a stall: half
-# of the least time that a check allows beyond a bound.
+# How often the soak checks whether it stalled itself, and how late a wake-up counts
+# as a stall: half of the smallest margin that a check allows beyond a time limit.
 STALL_CHECK_PERIOD_S = 0.1
 STALL_THRESHOLD_S = 0.5
 RESPONSE_FAULTS = (
@@ -30,16 +30,16 @@
 
 @frozen
 class Fault:
-    """One disturbance.
+    """One fault to inject.
 
     Parameters
     ----------
     kind : str
-        Name of a method of `Faults`.
-    at, duration_s : float
-        Seconds from the start of the load, and how long it lasts.
-    number : int
-        Draws which VM or target it hits.
+        Name of the `FaultInjector` method that injects it, or of a signal sequence.
+    start_s, duration_s : float
+        Start, in seconds after the load starts, and length.
+    random_bits : int
+        Selects the VM or target, and other details of the fault.
     """
 
     kind: str
@@ -50,12 +50,12 @@
 
 @define
 class Disturbance:
-    """A time in which promises with a bound in time do not hold.
+    """A period during which time limits are not guaranteed.
 
     Parameters
     ----------
     scope : str
-        A VM's name, a target's instance, ``store``, or `ALL`.
+        Name of a VM, instance of a target, ``store``, or `SCOPE_ALL`.
     """
 
     kind: str
@@ -91,7 +91,7 @@
 
 
 def draw_faults(settings: SoakSettings) -> list[Fault]:
-    """Return the faults of a soak; some come in series, many overlap."""
+    """Draw the faults of a soak: some repeat three times, and many overlap."""
     rng = random.Random(f"{settings.seed}/faults")
     faults = []
     at = 1.0
@@ -107,7 +107,7 @@
 
 
 class FaultInjector:
-    """Does faults, and keeps which times they disturb.
+    """Injects faults and records the periods that they disturb.
 
     Parameters
     ----------
@@ -122,16 +122,16 @@
         self.stalls_s: list[float] = []
 
     async def watch_own_stalls(self):
-        """Note when this process itself, or the whole machine, stood still.
+        """Record when this process, or the whole machine, stalled.
 
-        What it then measures of times is not the gateways' doing.
+        The gateways are not the cause of delays measured during a stall.
         """
         while True:
             woken_at = trio.current_time() + STALL_CHECK_PERIOD_S
             try:
                 await trio.sleep(STALL_CHECK_PERIOD_S)
             finally:
-                # Also when the load ends in the moment in which a stall does.
+                # Runs on cancellation too: the load may end just as a stall ends.
                 self._record_stall(woken_at)
 
     def _record_stall(self, woken_at: float):
@@ -144,7 +144,7 @@
             self.disturbances.append(stall)
 
     async def run(self, plan: list[Fault]):
-        """Do all faults of a plan, each in its time."""
+        """Inject all faults of a plan, each at its start time."""
         began_at = trio.current_time()
         async with trio.open_nursery() as nursery:
             for fault in plan:
@@ -152,7 +152,7 @@
                 nursery.start_soon(getattr(self, fault.kind), fault)
 
     async def _disturb(self, fault: Fault, *scopes: str):
-        """Wait for as long as a fault lasts, as a disturbance of its scopes."""
+        """Record a disturbance per scope and sleep for the duration of the fault."""
         now = trio.current_time()
         disturbances = [Disturbance(fault.kind, scope, now) for scope in scopes]
         self.disturbances += disturbances
@@ -172,11 +172,11 @@
     # The store.
 
     async def store_down(self, fault: Fault):
-        """Answer all calls with 503."""
+        """Make the store answer all calls with 503."""
         await self._apply_store_mode(fault, "busy")
 
     async def store_silent(self, fault: Fault):
-        """Answer no call."""
+        """Make the store answer no call."""
         await self._apply_store_mode(fault, "silent")
 
     async def _apply_store_mode(self, fault: Fault, mode: str):
@@ -186,7 +186,7 @@
         self._end_disturbances(disturbances)
 
     async def store_slow(self, fault: Fault):
-        """Delay all that passes between VMs and the store."""
+        """Delay all traffic between VMs and the store."""
         for vm in self.vms:
             vm.store_proxy.delay_s = 0.2
         disturbances = await self._disturb(fault, "store")
@@ -195,19 +195,19 @@
         self._end_disturbances(disturbances)
 
     async def store_loses_answers(self, fault: Fault):
-        """Do writes and never answer them."""
+        """Make the store perform writes without answering them."""
         self.world.store.loses_answers = True
         disturbances = await self._disturb(fault, "store")
         self.world.store.loses_answers = False
         self._end_disturbances(disturbances)
 
     async def store_forgets(self, fault: Fault):
-        """Forget the history, so that watches end with 410."""
+        """Make the store discard its history, so that watches end with 410."""
         self.world.store.forget_history()
         self._end_disturbances(await self._disturb(fault, "store"))
 
     async def store_turns_away(self, fault: Fault):
-        """Reset one VM's connections to the store, and refuse new ones."""
+        """Reset one VM's connections to the store and any new ones it opens."""
         vm = self._pick_vm(fault)
         vm.store_proxy.accepts = False
         vm.store_proxy.reset_all()
@@ -216,7 +216,7 @@
         self._end_disturbances(disturbances)
 
     async def store_cut_one_way(self, fault: Fault):
-        """Let calls reach the store, and no answer come back."""
+        """Pass one VM's calls to the store but hold back the answers."""
         vm = self._pick_vm(fault)
         vm.store_proxy.backward = False
         disturbances = await self._disturb(fault, vm.name)
@@ -226,7 +226,7 @@
     # Targets.
 
     async def target_silent(self, fault: Fault):
-        """Let nothing pass to and from a target; connections stay open."""
+        """Block all traffic of a target while its connections stay open."""
         target = self._pick_target(fault)
         target.proxy.forward = target.proxy.backward = False
         disturbances = await self._disturb(fault, target.instance)
@@ -234,7 +234,7 @@
         self._end_disturbances(disturbances)
 
     async def target_slow(self, fault: Fault):
-        """Delay what passes to and from a target."""
+        """Delay all traffic to and from a target."""
         target = self._pick_target(fault)
         target.proxy.delay_s = 0.3
         disturbances = await self._disturb(fault, target.instance)
@@ -242,7 +242,7 @@
         self._end_disturbances(disturbances)
 
     async def target_resets(self, fault: Fault):
-        """Reset a target's connections, again and again."""
+        """Reset the connections of a target repeatedly."""
         target = self._pick_target(fault)
         disturbances = await self._disturb(Fault(fault.kind, 0, 0, 0), target.instance)
         until = trio.current_time() + fault.duration_s
@@ -252,14 +252,14 @@
         self._end_disturbances(disturbances)
 
     async def target_spoils(self, fault: Fault):
-        """Have a target's next answers go wrong."""
+        """Make the next six responses of a target faulty."""
         target = self._pick_target(fault)
         rng = random.Random(fault.random_bits)
         target.spoils += [rng.choice(RESPONSE_FAULTS) for _ in range(6)]
         self._end_disturbances(await self._disturb(fault, target.instance))
 
     async def target_leaves(self, fault: Fault):
-        """Drain a target, end it, and have it come back cold."""
+        """Drain a target, take it down, and register it again as cold."""
         target = self._pick_target(fault)
         if target.draining_since is not None:
             return
@@ -269,7 +269,7 @@
         await self._take_target_down(target, fault)
 
     async def target_crashes(self, fault: Fault):
-        """End a target at once; its entry goes some time later."""
+        """Take a target down at once; its entry is deleted later."""
         target = self._pick_target(fault)
         if target.draining_since is None:
             await self._take_target_down(target, fault)
@@ -292,7 +292,7 @@
     # VMs.
 
     async def vm_pause(self, fault: Fault):
-        """Stop a process for a while."""
+        """Pause a gateway process with SIGSTOP."""
         vm = self._pick_vm(fault)
         vm.send(signal.SIGSTOP)
         disturbances = await self._disturb(fault, vm.name)
@@ -300,20 +300,20 @@
         self._end_disturbances(disturbances)
 
     async def vm_kill(self, fault: Fault):
-        """Kill a process; it is started again."""
+        """Kill a gateway process, which is then restarted."""
         vm = self._pick_vm(fault)
         vm.kill()
         self._end_disturbances(await self._disturb(fault, vm.name))
 
     async def many_killed(self, fault: Fault):
-        """Kill half of all processes at once."""
+        """Kill half of the gateway processes at once."""
         killed = self.vms[fault.random_bits % 2 :: 2]
         for vm in killed:
             vm.kill()
         self._end_disturbances(await self._disturb(fault, *(vm.name for vm in killed)))
 
     async def vm_stop(self, fault: Fault):
-        """Stop a process as planned; it is started again."""
+        """Stop a gateway process gracefully; it is then restarted."""
         vm = self._pick_vm(fault)
         disturbances = [Disturbance(fault.kind, vm.name, trio.current_time())]
         self.disturbances += disturbances
@@ -321,7 +321,7 @@
         self._end_disturbances(disturbances)
 
     async def vm_hup(self, fault: Fault):
-        """Change a settings file, with a signal or without."""
+        """Change a settings file, with SIGHUP in two cases out of three."""
         vm = self._pick_vm(fault)
         vm.change_settings()
         if fault.random_bits % 3:
@@ -330,23 +330,23 @@
     # The operator.
 
     async def key_withdrawn(self, fault: Fault):
-        """Replace a workspace's key."""
+        """Replace the API key of a workspace."""
         self.world.replace_key(
             LARGE_WORKSPACE if fault.random_bits % 3 else SMALL_WORKSPACE
         )
 
     async def route_changed(self, fault: Fault):
-        """Add a route, or drop it."""
+        """Add a route, or remove it if it exists."""
         self.world.toggle_route(f"extra-{fault.random_bits % 2}")
 
     async def configurations(self, fault: Fault):
-        """Write configurations in quick succession."""
+        """Write eight configurations in quick succession."""
         for _ in range(8):
             self.world.write_configuration()
             await trio.sleep(0.1)
 
     async def domain_evacuated(self, fault: Fault):
-        """Evacuate a failure domain and take it back."""
+        """Evacuate a failure domain, then end the evacuation."""
         domains = self.world.settings.domains
         name = f"domain-{fault.random_bits % domains}"
         evacuations = self.world.store.objects.get("evacuations", {})
--- a/tests/platform/soak/processes.py
+++ b/tests/platform/soak/processes.py
@@ -1,4 +1,4 @@
-"""The gateways of a soak, each a process of its own at its own loopback IP."""
+"""Runs the gateways of a soak, each as a process with its own loopback IP."""
 
 import contextlib
 import os
@@ -20,35 +20,35 @@
 RESTART_DELAY_S = 0.3
 STARTED_MESSAGE = b'"message":"start"'
 READY_MESSAGE = b'"message":"ready"'
-# A killed process is over at once; one that was told to stop after its grace.
+# A gateway that was asked to stop is killed if it outlives its grace period by 2 s.
 KILL_AFTER_S = GRACE_S + 2.0
 
 
 @define
 class Vm:
-    """One gateway.
+    """One gateway process and its restarts.
 
     Attributes
     ----------
     store_proxy : Proxy
-        Its way to the store.
+        Proxy through which it reaches the store.
     process : trio.Process or None
     stopping_since : float or None
-        When it was told to stop.
+        When the current process was sent SIGTERM to stop.
     was_starting : bool
-        Whether it had not written its first line when it was told to stop.
+        Whether it had not yet logged its first line at that time.
     sent_signals : list of str
-        Signals that the present process was sent.
+        Names of the signals sent to the current process.
     unexpected_exits : list of str
-        How processes ended that should have gone on, or ended otherwise.
+        Descriptions of exits that were not requested or had an unexpected status.
     late_exits : list of tuple
-        From when until when a process that was told to stop had not ended.
+        Times of SIGTERM and SIGKILL of each process that did not stop in time.
     failed_starts : list of str
-        Processes that were hung up while they started and did not get ready.
+        Processes that received SIGHUP during startup and did not become ready.
     stops : list of tuple
-        From when until when processes stopped.
-    waits : Waits
-        What its processes waited for a processor.
+        Start and end of each requested stop.
+    waits : CpuWaits
+        How long its processes waited for a CPU.
     """
 
     name: str
@@ -74,43 +74,43 @@
 
     @property
     def request_address(self) -> str:
-        """Where callers connect."""
+        """Address for callers' requests."""
         return f"{self.ip}:{self.ports[0]}"
 
     @property
     def lookup_address(self) -> str:
-        """Where look-ups are answered."""
+        """Address that answers look-ups."""
         return f"{self.ip}:{self.ports[2]}"
 
     @property
     def is_running(self) -> bool:
-        """Whether there is a process."""
+        """Whether the gateway process is running."""
         return self.process is not None and self.process.returncode is None
 
     @property
     def is_ready(self) -> bool:
-        """Whether the present process has said that it serves."""
+        """Whether the current process has logged that it is ready."""
         return self.is_running and self.has_logged(READY_MESSAGE)
 
     @property
     def waited_s(self) -> float:
-        """How long the present process has waited for a processor."""
+        """How long the current process has waited for a CPU."""
         return cpu_times_s(self.process.pid)[1] if self.is_running else 0.0
 
     def has_logged(self, line: bytes) -> bool:
-        """Tell whether the present process has written a line."""
+        """Return whether the log of the current process contains a text."""
         with self.log_file.open("rb") as log:
             log.seek(self.log_offset)
             return line in log.read()
 
     def send(self, number: int):
-        """Send a signal, if the process runs."""
+        """Send a signal if the process is running."""
         if self.is_running:
             self.sent_signals.append(signal.Signals(number).name)
             self.process.send_signal(number)
 
     async def run(self):
-        """Keep the process running until cancelled; it ends with the task."""
+        """Run the process, restarting it on exit, and kill it on cancellation."""
         try:
             while True:
                 await self._run_once()
@@ -135,7 +135,7 @@
                 stdout=out,
                 stderr=subprocess.STDOUT,
             )
-        # Only now: what came meanwhile was for the process before, or for none.
+        # Set only now: signals sent before were for the previous process or for none.
         self.process, self.stopping_since, self.is_killed = process, None, False
         self.sent_signals = []
         async with trio.open_nursery() as nursery:
@@ -145,16 +145,17 @@
         self.record_exit(process.returncode)
 
     def record_exit(self, status: int):
-        """Judge how the process ended.
+        """Record the exit of the process and check its status.
 
-        One that was told to stop ends with 0, whatever else it was sent. Only
-        before its first line it cannot know better than the system, which ends it.
+        A process that was asked to stop exits with 0, whatever other signals it got.
+        The exception is SIGTERM before its first log line: its handlers may not be
+        installed yet, so the default action ends it.
         """
         sent = " ".join(self.sent_signals[-6:]) or "no signal"
         line = f"ended with status {status} after {sent}"
         if self.stopping_since is None:
             if not (self.is_killed and status == -signal.SIGKILL):
-                self.unexpected_exits.append(f"{line}, not told to stop")
+                self.unexpected_exits.append(f"{line}, without a request to stop")
             return
         now = trio.current_time()
         self.stops.append((self.stopping_since, now))
@@ -166,17 +167,17 @@
         if not is_expected:
             since_s = now - self.stopping_since
             self.unexpected_exits.append(
-                f"{line}, {since_s:.2f} s after it was told to stop"
+                f"{line}, {since_s:.2f} s after it was asked to stop"
             )
 
     def kill(self):
-        """End the process as a crash does."""
+        """Kill the process with SIGKILL, as a crash would."""
         self.is_killed = self.is_killed or self.is_running
         self.send(signal.SIGCONT)
         self.send(signal.SIGKILL)
 
     async def stop(self):
-        """Tell the process to stop, and see to it that it does."""
+        """Stop the process with SIGTERM; kill it if it does not exit in time."""
         if self.stopping_since is not None or not self.is_running:
             return
         process, self.stopping_since = self.process, trio.current_time()
@@ -189,7 +190,7 @@
         self.kill()
 
     def change_settings(self):
-        """Write the settings file anew, with a field that it does not know."""
+        """Rewrite the settings file with a field that the gateway does not know."""
         self.settings_revision += 1
         text = self.settings_file.read_text().partition("[future]")[0]
         self.settings_file.write_text(
@@ -199,9 +200,9 @@
 
 @contextlib.asynccontextmanager
 async def running_vms(settings: SoakSettings, store_address: str, folder: Path):
-    """Run all gateways for the length of a block."""
+    """Run all gateways for the duration of a block."""
     ports = free_ports(6)
-    # Soaks that run at once have each a range of loopback addresses.
+    # The process ID selects a loopback range, so that concurrent soaks do not clash.
     subnet = 1 + (os.getpid() % 250)
     domains = [f"domain-{n}" for n in range(settings.domains)]
     zones = "".join(f"{name} = region-{n % 2}\n" for n, name in enumerate(domains))
--- a/tests/platform/soak/promises.py
+++ b/tests/platform/soak/promises.py
@@ -1,4 +1,4 @@
-"""Checks what callers and targets saw against what the platform's pages promise."""
+"""Checks the records of callers and targets against the documented guarantees."""
 
 from collections import Counter, defaultdict
 
@@ -22,26 +22,28 @@
 from .signals import SIGNAL_SEQUENCES
 from .world import RATE_LIMITS, Run, World
 
-# Statuses that promise that the request has not run and never will.
+# Statuses which guarantee that the request has not run and never will.
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
+# Share of requests that must get status 200 after recovery.
 MIN_SERVED_SHARE_AT_END = 0.9
-# What a request may take at a VM.
+# Longest time that a VM may take for a request.
 MAX_REQUEST_S = ROUTE_TIMEOUT_S + 0.5 + MARGIN_S
-# What cuts no request, and of it what takes nothing from any other promise.
+# Disturbances that must not cut a running request, and those among them during
+# which all other guarantees hold as well.
 GRACEFUL_KINDS = frozenset({"vm_stop", *SIGNAL_SEQUENCES})
 HARMLESS_KINDS = frozenset({"hup_hup"})
-# What keeps a process from ending in its time.
+# Disturbances that excuse a process which exits too late.
 PAUSE_KINDS = frozenset({"vm_pause", "stall"})
 
 
 @define
 class Findings:
-    """Violations by rule, each with a line on what was seen.
+    """Violations by rule, each with a line that describes it.
 
     Attributes
     ----------
     excused_by_waits : list of str
-        Requests past their time, of which their VM waited long enough for a processor.
+        Requests that took too long, but only because their VM waited for a CPU.
     """
 
     by_rule: dict[str, list[str]] = field(factory=lambda: defaultdict(list))
@@ -53,7 +55,7 @@
 
 
 class InvariantChecker:
-    """Everything that was seen in a soak.
+    """Checks everything that was recorded during a soak.
 
     Parameters
     ----------
@@ -81,7 +83,7 @@
             self.runs_by_request[run.request_id].append(run)
 
     def check(self, settled_at: float, ended_at: float) -> Findings:
-        """Check all promises."""
+        """Check all rules and return the findings."""
         by_id = {request.request_id: request for request in self.requests}
         for request in self.requests:
             self._check_response(request)
@@ -107,7 +109,7 @@
                 and disturbance.ended_at >= since
                 for disturbance in self.disturbances
             ):
-                line = f"{vm.name} had not ended {until - since:.2f} s after its stop"
+                line = f"{vm.name} had not exited {until - since:.2f} s after SIGTERM"
                 self.findings.add("EXIT", line)
 
     def _is_disturbed(self, scopes: set[str], since: float, until: float) -> bool:
@@ -137,8 +139,8 @@
             self.findings.add(
                 "DENIED", f"{request.request_id} got 404 for {request.path}"
             )
-        # Until a key's configuration must be in force, the request before, which does
-        # not have it, may be.
+        # A new key may be refused while its VM still applies the previous
+        # configuration, which it may do for CONFIG_APPLY_S.
         issued_at = self.world.issued_at.get(request.key, 0.0)
         is_in_force = request.sent_at > issued_at + CONFIG_APPLY_S
         is_valid = request.key not in self.world.revoked_at and is_in_force
@@ -165,19 +167,19 @@
             )
 
     def _check_overdue(self, request: SentRequest, vm: Vm):
-        """Judge a request by the time beyond what its VM waited for a processor."""
+        """Check a request's duration less the time its VM waited for a CPU."""
         took_s = request.ended_at - request.sent_at
         waited_s = vm.waits.min_within(request.sent_at, request.ended_at)
         line = f"{request.request_id} at {vm.name}: {took_s:.2f} s"
         if waited_s:
-            line += f", {waited_s:.2f} s of it without a processor"
+            line += f", {waited_s:.2f} s of it waiting for a CPU"
         if took_s - waited_s > MAX_REQUEST_S:
             self.findings.add("HELD", line)
         else:
             self.findings.excused_by_waits.append(line)
 
     def _was_cut_by_graceful_stop(self, request: SentRequest, vm: Vm) -> bool:
-        """Tell whether only a planned stop or signals can have cut what ran."""
+        """Return whether only a graceful stop or signals can have cut the request."""
         if not self.runs_by_request[request.request_id]:
             return False
         overlapping = [
@@ -194,7 +196,7 @@
 
     def _check_run(self, run: Run, request: SentRequest | None):
         if request is None:
-            self.findings.add("UNASKED", f"{run.request_id}: nobody sent it")
+            self.findings.add("UNASKED", f"{run.request_id}: no caller sent it")
             return
         if (run.path, run.body, run.workspace) != (
             request.path,
@@ -203,7 +205,9 @@
         ):
             self.findings.add("UNASKED", f"{run.request_id} ran as {run}")
         if run.has_key:
-            self.findings.add("UNASKED", f"{run.request_id}: the target saw the key")
+            self.findings.add(
+                "UNASKED", f"{run.request_id}: the target received the key"
+            )
         vm = self.vm_by_address.get(request.vm_address)
         scopes = {"store", vm.name if vm else ""}
         if self._is_disturbed(scopes, request.sent_at - REVOKE_S, run.started_at):
@@ -211,7 +215,7 @@
         if run.draining_for_s > DRAIN_S + MARGIN_S:
             self.findings.add(
                 "DRAIN",
-                f"{run.request_id} by {vm.name}: {run.target} had been leaving for "
+                f"{run.request_id} by {vm.name}: {run.target} had been draining for "
                 f"{run.draining_for_s:.2f} s",
             )
         revoked_at = self.world.revoked_at.get(request.key)
@@ -219,7 +223,7 @@
             self.findings.add("REVOKE", f"{run.request_id} ran with {request.key}")
         dropped_at = self.world.dropped_at.get(f"/{request.path.split('/')[1]}/")
         if dropped_at and request.sent_at > dropped_at + CONFIG_APPLY_S + MARGIN_S:
-            self.findings.add("CONFIG", f"{run.request_id} ran on a dropped route")
+            self.findings.add("CONFIG", f"{run.request_id} ran on a removed route")
 
     def _check_quotas(self):
         times = defaultdict(list)
@@ -230,7 +234,7 @@
             allowed = (rate * QUOTA_WINDOW_S + burst) * (1 + QUOTA_OVER) + QUOTA_SLACK
             peak = _peak_in_window(sorted(at), QUOTA_WINDOW_S)
             if peak > allowed:
-                line = f"{workspace}: {peak} in a window, {allowed:.0f} allowed"
+                line = f"{workspace}: {peak} runs in a window, {allowed:.0f} allowed"
                 self.findings.add("QUOTA", line)
 
     def _check_recovery(self, settled_at: float, ended_at: float):
@@ -244,7 +248,7 @@
         if not final_requests or statuses[200] < MIN_SERVED_SHARE_AT_END * len(
             final_requests
         ):
-            self.findings.add("RECOVER", f"after all faults: {dict(statuses)}")
+            self.findings.add("RECOVER", f"statuses after all faults: {dict(statuses)}")
 
 
 def _peak_in_window(times: list[float], window_s: float) -> int:
--- a/tests/platform/soak/proxy.py
+++ b/tests/platform/soak/proxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy that delays, silences, cuts one way or resets connections."""
+"""A loopback proxy that delays, blocks (one way or both) or resets connections."""
 
 import contextlib
 
@@ -11,18 +11,18 @@
 
 @define
 class Proxy:
-    """One listening address in front of another.
+    """A TCP proxy in front of one upstream address.
 
     Attributes
     ----------
     upstream : str
-        ``IP:PORT`` that connections are passed to.
+        ``IP:PORT`` to which connections are forwarded.
     delay_s : float
-        Added to each piece, each way.
+        Delay added to each chunk, in each direction.
     forward, backward : bool
-        Whether bytes pass towards upstream, and back.
+        Whether bytes pass to upstream, and from upstream.
     accepts : bool
-        False resets each new connection.
+        Whether new connections are accepted; otherwise they are reset.
     """
 
     upstream: str
@@ -35,12 +35,12 @@
     changed: trio.Event = field(factory=trio.Event)
 
     def clear_faults(self):
-        """Let everything pass again."""
+        """Remove all delays and blocks and accept connections again."""
         self.delay_s, self.forward, self.backward, self.accepts = 0.0, True, True, True
         self.wake()
 
     def wake(self):
-        """Have held bytes look again whether they may pass."""
+        """Wake blocked relays so that they check again whether bytes may pass."""
         self.changed.set()
         self.changed = trio.Event()
 
@@ -51,7 +51,7 @@
                 stream.socket.close()
 
     async def serve(self, stream):
-        """Pass one connection on until either side ends it."""
+        """Forward one connection until either side closes it."""
         if not self.accepts:
             await trio.aclose_forcefully(stream)
             return
@@ -86,7 +86,7 @@
 
 @contextlib.asynccontextmanager
 async def running_proxy(upstream: str):
-    """Serve a proxy on loopback for the length of a block."""
+    """Serve a proxy on loopback for the duration of a block."""
     proxy = Proxy(upstream)
     listeners = await trio.open_tcp_listeners(0, host="127.0.0.1", backlog=512)
     proxy.address = f"127.0.0.1:{listeners[0].socket.getsockname()[1]}"
--- a/tests/platform/soak/settings.py
+++ b/tests/platform/soak/settings.py
@@ -1,22 +1,24 @@
-"""Sizes, times and bounds of a soak."""
+"""Sizes, times and limits of a soak."""
 
 from attrs import frozen
 
-# Times that the platform's pages promise to, in seconds.
+# Time limits that the platform's documentation guarantees, in seconds.
 CONFIG_APPLY_S = 2.0
 REVOKE_S = 5.0
 DRAIN_S = 2.0
 GRACE_S = 6.0
 ROUTE_TIMEOUT_S = 1.2
-# What a busy machine adds to each of them: processes of the soak, its callers
-# and its stand-ins share the cores.
+# Tolerance added to each of them for a busy machine: the gateways, the callers and the
+# test doubles share its cores.
 MARGIN_S = 1.0
-# After a fault ends, a VM counts as in touch again when this has passed.
+# How long after the end of a fault a VM counts as disturbed by it.
 STABLE_S = 3.0
-# A process is ready within this, also on a busy machine.
+# Time within which a process becomes ready, even on a busy machine.
 START_TIMEOUT_S = 25.0
-# After the last fault callers must be served again.
+# Time after the last fault within which callers must be served again.
 RECOVERY_S = 15.0
+# Length of the window in which quota use is counted, and how far it may exceed the
+# quota: by a share, plus a fixed number of requests.
 QUOTA_WINDOW_S = 5.0
 QUOTA_OVER = 0.1
 QUOTA_SLACK = 20
@@ -24,20 +26,21 @@
 
 @frozen
 class SoakSettings:
-    """One soak.
+    """Settings of one soak.
 
     Parameters
     ----------
     seed : int
-        Draws faults, callers and requests.
+        Seeds the draws of faults, signals, callers and requests.
     duration_s : float
-        Time in which faults begin; settling comes on top.
+        Period during which faults start, not counting recovery.
     vms : int
     domains : int
     targets : int
     callers : int
-        Callers that each send one request after the other.
+        Number of callers, each of which sends one request at a time.
     faults_per_s : float
+        Average rate at which faults start.
     """
 
     seed: int
--- a/tests/platform/soak/signals.py
+++ b/tests/platform/soak/signals.py
@@ -1,4 +1,4 @@
-"""Signals that meet at one process, in series that the seed draws."""
+"""Sends seeded sequences of overlapping signals to one process."""
 
 import itertools
 import random
@@ -11,8 +11,8 @@
 from .settings import START_TIMEOUT_S, SoakSettings
 from .waits import cpu_times_s
 
-# "hups" and "agains" go on and on: until a process that stops is gone, or until one
-# that starts is ready. "restart" waits for the process that follows.
+# "hups" and "agains" repeat a signal until a stopping process has exited or a starting
+# process is ready. "restart" waits for the next process.
 SIGNAL_SEQUENCES = {
     "stop_hup": ("stop", "hup"),
     "stop_hups": ("stop", "hups"),
@@ -32,20 +32,21 @@
     "pause": signal.SIGSTOP,
     "resume": signal.SIGCONT,
 }
-# Few, so that the load is mostly served as without them.
+# Few, so that the load is mostly served as it is without signals.
 MAX_SEQUENCES = 3
 SECONDS_PER_SEQUENCE = 4.0
-# Longest times between two signals: in quick succession, or anywhere in a stop;
-# a pause is short against what a process has left when it was told to stop.
+# Upper limits of the gap between two signals, one drawn per gap: in quick succession,
+# or at any point of a stop. Gaps around a pause are short compared with the time that
+# a process has for its stop.
 MAX_GAPS_S = (0.05, 0.5, 3.5)
 MAX_PAUSED_GAPS_S = (0.05, 0.3)
-# Processor time after which a process runs its program. Its interpreter's start
-# takes half of it, and in that no program can do anything about a signal.
+# CPU time after which a process has reached its program. The interpreter's startup
+# takes half of it, and during startup no program can handle a signal.
 INTERPRETER_START_S = 0.06
 
 
 def draw_signals(settings: SoakSettings) -> list[Fault]:
-    """Return the series of a soak. What `draw_faults` draws does not depend on them."""
+    """Draw the signal sequences of a soak, independently of `draw_faults`."""
     rng = random.Random(f"{settings.seed}/signals")
     count = max(1, min(MAX_SEQUENCES, int(settings.duration_s / SECONDS_PER_SEQUENCE)))
     sequences = [
@@ -56,7 +57,7 @@
 
 
 async def run_signals(injector: FaultInjector, plan: list[Fault]):
-    """Do all series of a plan, each in its time."""
+    """Run all sequences of a plan, each at its start time."""
     began_at = trio.current_time()
     async with trio.open_nursery() as nursery:
         for fault in plan:
@@ -66,7 +67,7 @@
 
 async def _run_sequence(injector: FaultInjector, fault: Fault):
     vm = injector.vms[fault.random_bits % len(injector.vms)]
-    # Another fault may have ended it; a series begins at a VM that serves.
+    # Another fault may have stopped the VM; a sequence starts only at a ready VM.
     with trio.move_on_after(START_TIMEOUT_S) as waiting:
         while not vm.is_ready or vm.stopping_since is not None:
             await trio.sleep(0.1)
@@ -103,7 +104,7 @@
 
 
 async def _wait_for_next_process(vm: Vm, process: trio.Process) -> trio.Process:
-    """Wait until the next process runs its program."""
+    """Wait until the next process has started and reached its program."""
     while vm.process is process:
         await trio.sleep(0.02)
     process = vm.process
@@ -133,7 +134,7 @@
             if vm.is_ready:
                 return
             await trio.sleep(0.1)
-        # Another fault ended it, or it ended by itself, which is found as such.
+        # Another fault stopped it, or it exited by itself, which record_exit reports.
         return
     sent = " ".join(vm.sent_signals[-6:])
     vm.failed_starts.append(
--- a/tests/platform/soak/waits.py
+++ b/tests/platform/soak/waits.py
@@ -1,4 +1,4 @@
-"""How long the processes of a VM waited for a processor, and when."""
+"""Measures when, and for how long, the processes of a VM waited for a CPU."""
 
 import contextlib
 from pathlib import Path
@@ -10,13 +10,13 @@
 
 
 def cpu_times_s(pid: int) -> tuple[float, float]:
-    """Return how long a process has had a processor, and has waited for one."""
+    """Return how long a process has run on a CPU and has waited for one."""
     ran, waited, _ = Path(f"/proc/{pid}/schedstat").read_text().split()
     return int(ran) / 1e9, int(waited) / 1e9
 
 
 def sample_process(pid: int) -> "SchedstatSample":
-    """Read what the kernel has counted of a process."""
+    """Read the CPU and waiting times that the kernel has counted for a process."""
     since = trio.current_time()
     ran_s, waited_s = cpu_times_s(pid)
     return SchedstatSample(since, trio.current_time(), ran_s, waited_s)
@@ -24,14 +24,14 @@
 
 @frozen
 class SchedstatSample:
-    """What the kernel had counted of a process.
+    """CPU and waiting times of a process, as counted by the kernel.
 
     Parameters
     ----------
     since, until : float
-        Between which it was read.
+        Time before and after the read.
     ran_s, waited_s : float
-        Since the process began.
+        Totals since the process started.
     """
 
     since: float
@@ -42,13 +42,14 @@
 
 @frozen
 class CpuWait:
-    """Waiting in one piece or several, somewhere in a time.
+    """CPU waiting time, in one or several pieces, within an interval.
 
     Parameters
     ----------
     began_at, ended_at : float
-        Between which all of it lies.
+        Interval that contains all of the waiting time.
     waited_s : float
+        Total waiting time.
     """
 
     began_at: float
@@ -56,7 +57,7 @@
     waited_s: float
 
     def min_within(self, since: float, until: float) -> float:
-        """Return how much of it lies between two times in any case."""
+        """Return the least waiting time that must lie between two times."""
         common_s = min(self.ended_at, until) - max(self.began_at, since)
         if common_s <= 0:
             return 0.0
@@ -66,16 +67,16 @@
 
 @define
 class CpuWaits:
-    """What the processes of a VM waited, one process after the other.
+    """CPU waiting times of the successive processes of a VM.
 
     Attributes
     ----------
-    intervals : list of Wait
+    intervals : list of CpuWait
     ran_s, waited_s : float
-        Sums over all processes.
+        Totals over all processes.
     ran_after : float
-        The present process has run later than this; what it is found to have
-        waited next began later, too.
+        Lower limit for the start of the next wait: the current process is known to
+        have run after this time.
     """
 
     intervals: list[CpuWait] = field(factory=list)
@@ -86,21 +87,21 @@
     timeout_scopes: list[trio.CancelScope] = field(factory=list)
 
     async def watch(self, process: trio.Process):
-        """Read a process again and again until it ends."""
+        """Sample a process periodically until it exits."""
         while process.returncode is None:
             self.add_sample(sample_process(process.pid))
             await trio.sleep(SAMPLE_PERIOD_S)
 
     def start_process(self):
-        """Expect readings of a new process."""
+        """Reset the counters for a new process."""
         now = trio.current_time()
         self.last_sample, self.ran_after = SchedstatSample(now, now), now
 
     def add_sample(self, sample: SchedstatSample):
-        """Take in a sample.
+        """Add the difference from the last sample to the waits and totals.
 
-        The kernel counts a wait once it is over, so it may have begun before
-        the reading before.
+        The kernel counts a wait only when it ends, so the wait may have begun before
+        the last sample.
         """
         last, self.last_sample = self.last_sample, sample
         waited_s = sample.waited_s - last.waited_s
@@ -114,19 +115,19 @@
         self.ran_s += sample.ran_s - last.ran_s
 
     def min_within(self, since: float, until: float) -> float:
-        """Return how long was waited between two times in any case, in seconds."""
+        """Return the least waiting time between two times, in seconds."""
         return sum(wait.min_within(since, until) for wait in self.intervals)
 
     def longer_than(self, least_s: float) -> list[float]:
-        """Return the waits between two readings that were longer, in seconds."""
+        """Return the waits between two samples that exceed a limit, in seconds."""
         waits = [wait.waited_s for wait in self.intervals if wait.waited_s > least_s]
         return [round(wait_s, 2) for wait_s in waits]
 
     @contextlib.contextmanager
     def timeout(self, limit_s: float):
-        """Cancel a block after so many seconds and those that the process waited.
+        """Cancel a block after a time limit plus the process's CPU waiting time.
 
-        A request given up sooner would not show whether its VM ever answers.
+        If a caller gave up sooner, it would not show whether the VM ever responds.
         """
         with trio.move_on_after(limit_s) as scope:
             self.timeout_scopes.append(scope)
--- a/tests/platform/soak/world.py
+++ b/tests/platform/soak/world.py
@@ -1,4 +1,4 @@
-"""What stands around the gateways: operator, targets, and what they recorded."""
+"""The environment of the gateways: operator, store, targets and their records."""
 
 import contextlib
 
@@ -19,29 +19,27 @@
 
 @define
 class Target(TargetStandin):
-    """A target that says in its answer which request it answers.
+    """A target whose response body names the request that it answers.
 
     Attributes
     ----------
     proxy : Proxy
-        Its address for gateways.
-    run_at : list of float
-        When each run began.
+        Proxy through which gateways reach it.
     draining_since : float or None
-        When the store took its word that it leaves.
+        When it was registered in the store as draining.
     """
 
     proxy: Proxy | None = None
     draining_since: float | None = None
 
     def body_for(self, headers):
-        """Name the request, so that mixed answers show."""
+        """Return a body with the request ID, so that swapped responses are detected."""
         return f"answer to {headers.get('request-id', '')}".encode()
 
 
 @define
 class Run:
-    """A request that a target began to run."""
+    """A request that a target started to run."""
 
     request_id: str
     workspace: str
@@ -55,7 +53,7 @@
 
 @define
 class World:
-    """The operator's side and the targets."""
+    """The operator's configuration, the store and the targets."""
 
     settings: SoakSettings
     store: StoreStandin = field(factory=StoreStandin)
@@ -65,10 +63,10 @@
     keys: dict[str, list[str]] = field(
         factory=lambda: {LARGE_WORKSPACE: ["large-0"], SMALL_WORKSPACE: ["small-0"]}
     )
-    # When a key or a route's prefix was taken away, as the store answered.
+    # When the store accepted the removal of a key or of a route's prefix.
     revoked_at: dict[str, float] = field(factory=dict)
     dropped_at: dict[str, float] = field(factory=dict)
-    # When a key was first in a configuration.
+    # When the store accepted the first configuration with a key.
     issued_at: dict[str, float] = field(factory=dict)
     extra_routes: set[str] = field(factory=set)
 
@@ -97,7 +95,7 @@
         self.store.put("config", "main", spec)
 
     def replace_key(self, workspace: str):
-        """Replace a workspace's key by another."""
+        """Replace the current key of a workspace with a new one."""
         old = self.keys[workspace][-1]
         self.keys[workspace] = [f"{old.partition('-')[0]}-{self.version}"]
         self.write_configuration()
@@ -105,7 +103,7 @@
         self.issued_at[self.keys[workspace][-1]] = trio.current_time()
 
     def toggle_route(self, name: str):
-        """Add a route, or drop it if it is there."""
+        """Add a route, or remove it if it exists."""
         if name in self.extra_routes:
             self.extra_routes.discard(name)
             self.write_configuration()
@@ -116,12 +114,12 @@
             self.write_configuration()
 
     def register(self, target: Target, **more):
-        """Write a target's entry."""
+        """Write a target's entry to the store."""
         spec = entry(target, addr=target.proxy.address, **more)
         self.store.put("servers", target.instance, spec)
 
     def record_run(self, target: Target, run):
-        """Record what a target began to run."""
+        """Record a request that a target started to run."""
         now = trio.current_time()
         draining_since = target.draining_since
         self.runs.append(
@@ -140,13 +138,13 @@
 
 @define
 class RecordingList(list):
-    """Hands each appended run on."""
+    """A list that passes each appended run to the world's records."""
 
     target: Target
     world: World
 
     def append(self, run):
-        """Note a run instead of keeping it."""
+        """Record a run instead of storing it in this list."""
         self.world.record_run(self.target, run)
 
 
--- a/tests/platform/test_soak.py
+++ b/tests/platform/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak finds what it is meant to find."""
+"""Tests that the soak detects the violations that it is meant to detect."""
 
 import contextlib
 import os
@@ -44,7 +44,7 @@
 from tests.support import on_mock_clock, on_real_clock
 
 SETTINGS = SoakSettings(seed=5, duration_s=60.0)
-# What seed 54 draws for 12 s.
+# Kinds that seed 54 draws for a duration of 12 s.
 PINNED_FAULTS = ["target_spoils", "target_spoils", "target_spoils", "target_silent"]
 
 
@@ -97,7 +97,7 @@
 
 
 def check_overdue(*waits: CpuWait, vm="vm-0") -> tuple[list[str], list[str]]:
-    """Judge a request of 2.9 s; return what is found and what is excused."""
+    """Check a request of 2.9 s; return the violated rules and the excused requests."""
     vms = [make_vm(), make_vm()]
     vms[1].name, vms[1].ports = "vm-1", [7, 2, 3, 4, 5, 6]
     next(other for other in vms if other.name == vm).waits.intervals += waits
@@ -111,7 +111,7 @@
 
 def violated_rules(requests, runs, disturbances=(), **world_fields) -> list[str]:
     world = World(SETTINGS, runs=list(runs), **world_fields)
-    # Served at the end, so that only the rule under test is found.
+    # A request served at the end keeps RECOVER from being reported as well.
     requests = [*requests, make_request("last", sent_at=100.0)]
     checker = InvariantChecker(world, [make_vm()], requests, list(disturbances))
     return sorted(checker.check(90.0, 200.0).by_rule)
@@ -122,7 +122,7 @@
         self.assertEqual(draw_faults(SETTINGS), draw_faults(SETTINGS))
         self.assertNotEqual(draw_faults(SETTINGS), draw_faults(SoakSettings(6, 60.0)))
 
-    def test_each_kind_is_drawn_and_can_be_done(self):
+    def test_each_kind_is_drawn_and_implemented(self):
         drawn = {
             f.kind for seed in range(40) for f in draw_faults(SoakSettings(seed, 60.0))
         }
@@ -132,25 +132,25 @@
 
 
 class TestDrawSignals(unittest.TestCase):
-    def test_same_seed_draws_the_same_and_few(self):
+    def test_same_seed_draws_the_same_few_sequences(self):
         self.assertEqual(draw_signals(SETTINGS), draw_signals(SETTINGS))
         self.assertNotEqual(draw_signals(SETTINGS), draw_signals(SoakSettings(6, 60.0)))
         self.assertEqual(len(draw_signals(SETTINGS)), MAX_SEQUENCES)
         self.assertEqual(len(draw_signals(SoakSettings(5, 2.0))), 1)
 
-    def test_each_series_is_drawn(self):
+    def test_each_sequence_is_drawn(self):
         settings = [SoakSettings(seed, 12.0) for seed in range(40)]
         drawn = {fault.kind for setting in settings for fault in draw_signals(setting)}
         self.assertEqual(drawn, set(SIGNAL_SEQUENCES))
 
-    def test_faults_of_a_seed_stay_what_they_were(self):
-        """Seeds are written down with what they found; they must find it again."""
+    def test_faults_of_a_recorded_seed_stay_the_same(self):
+        """Recorded seeds must keep drawing the same faults to reproduce a failure."""
         kinds = [fault.kind for fault in draw_faults(SoakSettings(54, 12.0))]
         self.assertEqual(kinds, PINNED_FAULTS)
 
 
-# Told to stop, this program is busy for a while, in which any further signal does
-# what the system lets it do, as at the gateway once.
+# After SIGTERM this program takes 0.6 s to exit, with the default actions for further
+# signals restored. The gateway once had this fault.
 DEFAULT_SIGNALS_AFTER_STOP = """
 import signal, sys, time
 def stop(*_):
@@ -170,7 +170,7 @@
         signal.signal(number, signal.SIG_DFL)
     time.sleep(0.1)"""
 NEVER_ENDS = IGNORES_SIGNALS_AFTER_STOP.replace("sys.exit(0)", "time.sleep(60)")
-# Serves when it is first started, and never again.
+# Becomes ready on its first start only.
 NEVER_READY = IGNORES_SIGNALS_AFTER_STOP.replace(
     """print('{"message":"ready"}', flush=True)""",
     """while time.process_time() < 0.2:
@@ -183,7 +183,7 @@
 
 
 async def run_sequences(program: str, *kinds: str) -> Vm:
-    """Run a program as a VM does, and do series of signals at it."""
+    """Run a program as a VM and send signal sequences to it."""
     async with running_vm(program) as vm:
         injector = FaultInjector(World(SETTINGS), [vm])
         with trio.fail_after(20):
@@ -195,7 +195,7 @@
 
 @contextlib.asynccontextmanager
 async def running_vm(program: str):
-    """Run a program as a VM does; it ends with the block."""
+    """Run a program as a VM for the duration of a block."""
     with tempfile.TemporaryDirectory() as folder:
         settings, log = Path(folder) / "vm-0.ini", Path(folder) / "vm-0.log"
         settings.write_text("")
@@ -209,14 +209,14 @@
 
 
 class TestSignals(unittest.TestCase):
-    """A VM was told to stop, and hung up in its drain: it ended at once.
+    """A gateway exited at once when it received SIGHUP while draining after SIGTERM.
 
-    The soak sent both signals, to VMs drawn at random, which hardly ever met at
-    one; and once a VM was told to stop, no end of it was looked at any more.
+    The soak missed this: it sent both signals, but rarely to the same randomly drawn
+    VM, and it did not check how a VM exited after SIGTERM.
     """
 
     @on_real_clock
-    async def test_end_in_a_drain_by_a_further_signal(self):
+    async def test_exit_by_second_signal_while_draining(self):
         with mock.patch("tests.platform.soak.signals.MAX_GAPS_S", (0.3,)):
             vm = await run_sequences(DEFAULT_SIGNALS_AFTER_STOP, "stop_hup")
             self.assertEqual(violations_at(vm), ["EXIT"])
@@ -226,10 +226,11 @@
                 self.assertEqual(violations_at(vm), [], kind)
 
     @on_real_clock
-    async def test_signals_until_a_process_is_gone(self):
-        """A process that has written its last line takes 10 ms and more to be gone.
+    async def test_signals_repeated_until_exit(self):
+        """Signals also arrive between the last log line and the exit of a process.
 
-        In these, a request to stop that was repeated ended it with status -15.
+        That takes 10 ms or more, and a repeated SIGTERM then ended the gateway with
+        status -15.
         """
         last_moment = IGNORES_SIGNALS_AFTER_STOP.replace(
             "sys.exit(0)", SIGNALS_DEFAULT_BEFORE_EXIT
@@ -242,7 +243,7 @@
                     self.assertIn(f"status {status} ", vm.unexpected_exits[0])
 
     @on_real_clock
-    async def test_process_that_does_not_end_in_its_time(self):
+    async def test_process_that_does_not_exit_in_time(self):
         with mock.patch("tests.platform.soak.processes.KILL_AFTER_S", 0.5):
             vm = await run_sequences(NEVER_ENDS, "stop_change")
         self.assertEqual(violations_at(vm), ["EXIT"])
@@ -254,12 +255,12 @@
         self.assertEqual(violations_at(vm, other), ["EXIT"])
 
     @on_real_clock
-    async def test_process_that_is_not_ready_after_a_hangup_in_its_start(self):
+    async def test_process_that_is_not_ready_after_hangup_during_startup(self):
         with mock.patch("tests.platform.soak.signals.START_TIMEOUT_S", 1.0):
             vm = await run_sequences(NEVER_READY, "restart_hup")
         self.assertEqual(violations_at(vm), ["START"])
 
-    def test_ends_that_are_right_and_wrong(self):
+    def test_expected_and_unexpected_exits(self):
         hangup, stop, kill = -signal.SIGHUP, -signal.SIGTERM, -signal.SIGKILL
         for status, more, is_expected in (
             (0, {"stopping_since": 1.0}, True),
@@ -287,7 +288,7 @@
 
 @frozen
 class StartingVm:
-    """Gets ready some seconds after its start, in part of which it waited."""
+    """A VM that becomes ready after a delay, part of which it waits for a CPU."""
 
     ready_s: float
     waits_s: float
@@ -304,25 +305,25 @@
 
 
 class TestStart(unittest.TestCase):
-    """A soak beside load (57 on 16 cores) ended with TimeoutError.
+    """A soak on an overloaded machine (load 57 on 16 cores) failed with TimeoutError.
 
-    A VM was not ready after 26.8 s; for over 15 s of these it had waited for a
-    processor, 8.9 s in one piece. It says nothing of the VM, and the soak
-    took its logs away with it.
+    A VM was not ready after 26.8 s, but had waited for a CPU for over 15 s of these,
+    8.9 s of them at a stretch. That is no fault of the VM, and the soak also deleted
+    the logs when it failed.
     """
 
     @on_mock_clock
-    async def test_time_without_a_processor_does_not_count(self):
+    async def test_timeout_excludes_cpu_waits(self):
         await _wait_until_ready([StartingVm(ready_s=20.0, waits_s=0.0)])
         await _wait_until_ready([StartingVm(ready_s=40.0, waits_s=20.0)])
 
     @on_mock_clock
-    async def test_vm_that_is_not_ready_though_it_could(self):
+    async def test_vm_not_ready_despite_cpu_time(self):
         with self.assertRaisesRegex(TimeoutError, "vm-0 .* waited 5.0 s"):
             await _wait_until_ready([StartingVm(ready_s=60.0, waits_s=5.0)])
         self.assertLess(trio.current_time(), 32.0)
 
-    def test_logs_are_kept(self):
+    def test_logs_are_saved_on_failure(self):
         broken = BaseExceptionGroup("", [TimeoutError("vm-0 was not ready")])
         with (
             mock.patch("trio.run", side_effect=broken),
@@ -337,22 +338,22 @@
 
 
 def child_pids(pid: int) -> set[int]:
-    """Return the ids of processes that a process started and that have not ended."""
+    """Return the IDs of the running child processes of a process."""
     children = Path(f"/proc/{pid}/task").glob("*/children")
     return {int(child) for listed in children for child in listed.read_text().split()}
 
 
 def kill_remaining(pids: set[int]) -> set[int]:
-    """Kill processes; return those that had not ended."""
+    """Kill the processes that are still running and return their IDs."""
     left = {pid for pid in pids if Path(f"/proc/{pid}").exists()}
     for pid in left:
         os.kill(pid, signal.SIGKILL)
     return left
 
 
-class TestEndOfSoak(unittest.TestCase):
+class TestTermination(unittest.TestCase):
     def terminate_soak(self, number: int) -> tuple[str, set[int]]:
-        """End a soak by a signal; return what it printed and what it left behind."""
+        """Signal a soak to end; return its output and the VMs that it left running."""
         command = [sys.executable, "-m", "tests.platform.soak"]
         command += ["--vms=2", "--domains=2", "--duration=30"]
         with subprocess.Popen(command, stdout=subprocess.PIPE, text=True) as process:
@@ -366,23 +367,23 @@
         self.assertEqual(process.returncode, ExitCode.FAILED)
         return printed, left
 
-    def test_ends_its_vms_when_it_is_told_to_end(self):
-        """A soak that is ended leaves its VMs behind, which load the machine."""
+    def test_termination_stops_its_vms(self):
+        """A terminated soak left its VMs running, and they kept loading the machine."""
         for number in (signal.SIGTERM, signal.SIGINT):
             with self.subTest(number.name):
                 printed, left = self.terminate_soak(number)
                 self.assertEqual(left, set())
-                self.assertIn(f"told to end by {number.name}", printed)
+                self.assertIn(f"terminated by {number.name}", printed)
 
 
 class TestOwnStalls(unittest.TestCase):
     @on_real_clock
-    async def test_stall_in_the_last_moment(self):
-        """The soak stood still for 9.5 s until its load was to end.
+    async def test_stall_at_the_end_of_the_load(self):
+        """A stall that lasts until the load ends must be recorded as well.
 
-        Requests that had been on their way took as long, at three VMs at once,
-        and were found HELD: whoever notes stalls was cancelled in that moment,
-        before it had looked at the clock.
+        A soak stalled for 9.5 s up to the end of its load. Pending requests at three
+        VMs took as long and were reported as HELD, since the task that records stalls
+        was cancelled before it checked the clock.
         """
         injector = FaultInjector(World(SETTINGS), [])
         async with trio.open_nursery() as nursery:
@@ -396,10 +397,10 @@
         self.assertGreater(injector.stalls_s[0], 0.5)
 
 
-class TestWaitsOfVms(unittest.TestCase):
+class TestCpuWaitsOfVms(unittest.TestCase):
     @on_real_clock
-    async def test_processes_are_read_while_they_run(self):
-        """The soak knows of its own stalls only, not of those of its VMs."""
+    async def test_running_processes_are_sampled(self):
+        """The soak measured its own stalls, but not those of its VMs."""
         async with running_vm(IGNORES_SIGNALS_AFTER_STOP) as vm:
             with trio.fail_after(20):
                 while not vm.waits.ran_s:
@@ -408,7 +409,7 @@
 
     @on_mock_clock
     async def test_wait_that_outlasts_the_load(self):
-        """A VM's wait in the last moment is not known yet as requests are judged."""
+        """A VM's wait at the end of the load was not yet counted during the checks."""
         vm = make_vm()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.run_after_2_s, vm)
@@ -424,13 +425,13 @@
 
     @on_mock_clock
     async def test_vm_that_does_not_run_again(self):
-        """A soak never ends, as one of its VMs does not run any more."""
+        """A soak must end even if one of its VMs never runs again."""
         await _wait_until_scheduled([make_vm()], since=0.5)
         self.assertLessEqual(trio.current_time(), 5.0)
 
 
-class TestPromises(unittest.TestCase):
-    def test_nothing_is_found_where_all_is_well(self):
+class TestInvariantChecker(unittest.TestCase):
+    def test_no_violations(self):
         self.assertEqual(violated_rules([make_request()], [make_run()]), [])
 
     def test_booking_that_ran_twice(self):
@@ -439,7 +440,7 @@
         self.assertEqual(violated_rules([request], [run, run]), ["TWICE"])
         self.assertEqual(violated_rules([make_request()], [make_run(), make_run()]), [])
 
-    def test_refusal_of_what_ran(self):
+    def test_booking_that_ran_but_was_refused(self):
         for status in (408, 421, 429, 503):
             request = make_request(path="/book/1", status=status)
             self.assertEqual(
@@ -448,7 +449,7 @@
         request = make_request(path="/book/1", status=502)
         self.assertEqual(violated_rules([request], [make_run(path="/book/1")]), [])
 
-    def test_answer_to_another_request(self):
+    def test_response_of_another_request(self):
         self.assertEqual(
             violated_rules([make_request(response_body=b"x")], [make_run()]), ["MIXED"]
         )
@@ -456,7 +457,7 @@
             violated_rules([make_request(is_signed=False)], [make_run()]), ["MIXED"]
         )
 
-    def test_run_that_nobody_sent_or_that_saw_a_key(self):
+    def test_run_without_request_or_with_key(self):
         self.assertEqual(violated_rules([], [make_run("r-9")]), ["UNASKED"])
         self.assertEqual(
             violated_rules([make_request()], [make_run(has_key=True)]), ["UNASKED"]
@@ -464,20 +465,20 @@
         other = make_run(workspace=SMALL_WORKSPACE)
         self.assertEqual(violated_rules([make_request()], [other]), ["UNASKED"])
 
-    def test_more_than_a_quota_in_a_window(self):
+    def test_quota_exceeded_in_a_window(self):
         names = [f"r-{n}" for n in range(70)]
         requests = [make_request(name, workspace=SMALL_WORKSPACE) for name in names]
         runs = [make_run(name, workspace=SMALL_WORKSPACE) for name in names]
         self.assertEqual(violated_rules(requests, runs), ["QUOTA"])
         self.assertEqual(violated_rules(requests[:50], runs[:50]), [])
 
-    def test_work_for_a_target_that_left(self):
+    def test_run_at_a_drained_target(self):
         late = make_run(draining_for_s=3.5)
         self.assertEqual(violated_rules([make_request()], [late]), ["DRAIN"])
         cut = Disturbance("vm_pause", "vm-0", 8.0, 9.0)
         self.assertEqual(violated_rules([make_request()], [late], [cut]), [])
 
-    def test_withdrawn_key_and_dropped_route(self):
+    def test_withdrawn_key_and_removed_route(self):
         revoked = {"large-0": 3.0}
         found = violated_rules([make_request()], [make_run()], revoked_at=revoked)
         self.assertEqual(found, ["REVOKE"])
@@ -492,16 +493,16 @@
         stall = Disturbance("stall", SCOPE_ALL, 10.5, 12.0)
         self.assertEqual(violated_rules([overdue], [], [stall]), [])
 
-    def test_request_at_a_vm_that_waited_for_a_processor(self):
-        """A request is found HELD though its VM was kept from running meanwhile."""
+    def test_slow_request_excused_by_cpu_waits(self):
+        """A request was reported as HELD although its VM was waiting for a CPU."""
         found, excused = check_overdue(CpuWait(10.0, 12.9, 2.86))
         self.assertEqual(found, [])
-        self.assertIn("2.90 s, 2.86 s of it without a processor", excused[0])
+        self.assertIn("2.90 s, 2.86 s of it waiting for a CPU", excused[0])
         short_waits = [CpuWait(10.0 + n, 10.9 + n, 0.2) for n in range(2)]
         self.assertEqual(check_overdue(*short_waits)[0], [])
 
-    def test_request_that_its_vm_held_beside_waits(self):
-        """A slow VM is taken for one that was kept from running."""
+    def test_slow_request_not_excused_by_cpu_waits(self):
+        """A slow VM must not be excused by waits that do not explain its delay."""
         for waits in (
             [],
             [CpuWait(10.0, 12.9, 0.15)],
@@ -513,14 +514,14 @@
         other = check_overdue(CpuWait(10.0, 12.9, 2.86), vm="vm-1")
         self.assertEqual(other, (["HELD"], []))
 
-    def test_request_cut_by_a_planned_stop_alone(self):
+    def test_request_cut_by_graceful_stop_only(self):
         cut = make_request(status=0)
         stop = Disturbance("vm_stop", "vm-0", 9.0, 13.0)
         self.assertEqual(violated_rules([cut], [make_run()], [stop]), ["LOST"])
         reset = Disturbance("target_resets", "target-0", 9.5, 10.5)
         self.assertEqual(violated_rules([cut], [make_run()], [stop, reset]), [])
 
-    def test_request_cut_by_signals_that_meet(self):
+    def test_request_cut_by_overlapping_signals(self):
         cut = make_request(status=0)
         for kind in SIGNAL_SEQUENCES:
             series = Disturbance(kind, "vm-0", 9.0, 13.0)
@@ -534,12 +535,12 @@
             far = Disturbance(kind, "vm-1", 9.0, 13.0)
             self.assertEqual(violated_rules([cut], [make_run()], [far]), [], kind)
 
-    def test_hangups_alone_disturb_no_promise(self):
+    def test_hangups_alone_excuse_nothing(self):
         overdue = make_request(status=504, ended_at=13.0)
         hangups = Disturbance("hup_hup", "vm-0", 9.0, 13.0)
         self.assertEqual(violated_rules([overdue], [], [hangups]), ["HELD"])
 
-    def test_callers_that_are_not_served_at_the_end(self):
+    def test_callers_not_served_after_recovery(self):
         requests = [make_request(f"r-{n}", status=503, sent_at=95.0) for n in range(5)]
         self.assertEqual(violated_rules(requests, []), ["RECOVER"])
 
--- a/tests/platform/test_soak_waits.py
+++ b/tests/platform/test_soak_waits.py
@@ -1,4 +1,4 @@
-"""The soak dates what the processes of its VMs waited for a processor."""
+"""Tests when and for how long the soak finds that VMs waited for a CPU."""
 
 import signal
 import subprocess
@@ -21,7 +21,7 @@
 
 
 def waits_from_samples(*counts: tuple[float, float, float]) -> CpuWaits:
-    """Return what is found by readings of a time, run time and waiting time each."""
+    """Add samples, each of a time, a run time and a waiting time."""
     waits = CpuWaits()
     for at, ran_s, waited_s in counts:
         waits.add_sample(SchedstatSample(at, at, ran_s, waited_s))
@@ -29,13 +29,13 @@
 
 
 def state_of(process: trio.Process) -> str:
-    """Return the kernel's letter for a process's state."""
+    """Return the kernel's one-letter state of a process."""
     return Path(f"/proc/{process.pid}/stat").read_text().rpartition(")")[2].split()[0]
 
 
-class TestWait(unittest.TestCase):
-    def test_waiting_that_lies_within_in_any_case(self):
-        """A request is excused by waiting that may have been at another time."""
+class TestCpuWait(unittest.TestCase):
+    def test_least_waiting_time_between_two_times(self):
+        """A request was excused by waiting that may have been at another time."""
         full, partial = CpuWait(10.0, 13.0, 3.0), CpuWait(10.0, 13.0, 1.0)
         for wait, since, until, expected_s in (
             (full, 9.0, 14.0, 3.0),
@@ -52,9 +52,9 @@
                 self.assertAlmostEqual(wait.min_within(since, until), expected_s)
 
 
-class TestWaits(unittest.TestCase):
-    def test_wait_that_ended_before_a_reading_began_before_others(self):
-        """The kernel counts a wait of seconds at its end, in one reading."""
+class TestCpuWaits(unittest.TestCase):
+    def test_wait_began_several_samples_earlier(self):
+        """The kernel counts a wait of seconds only at its end, in a single sample."""
         idle = [(10.0 + n * SAMPLE_PERIOD_S, 1.0, 0.0) for n in range(60)]
         waits = waits_from_samples((9.95, 0.9, 0.0), *idle, (13.0, 1.1, 2.9))
         self.assertAlmostEqual(waits.min_within(9.9, 13.0), 2.9)
@@ -64,13 +64,13 @@
         self.assertEqual(waits.longer_than(0.5), [2.9])
 
     def test_wait_began_after_the_process_ran(self):
-        """A wait is dated to a time in which the process was seen to run."""
+        """A wait must not be dated to a time when the process is known to have run."""
         waits = waits_from_samples((10.0, 1.0, 0.0), (11.0, 1.5, 0.0), (12.0, 1.6, 2.5))
         self.assertEqual(waits.intervals, [CpuWait(10.0, 12.0, 2.5)])
 
     @on_mock_clock
     async def test_next_process_is_counted_from_its_start(self):
-        """The counts of a VM's next process are taken for less than nothing."""
+        """The counters of a VM's next process start at zero, not at the last sample."""
         waits = waits_from_samples((0.0, 3.0, 2.0))
         await trio.sleep(1.0)
         waits.start_process()
@@ -80,8 +80,8 @@
         self.assertAlmostEqual(waits.ran_s, 3.5)
 
     @on_mock_clock
-    async def test_patience_grows_by_what_is_waited(self):
-        """A VM that never answers is excused, as its caller gave up in a wait."""
+    async def test_timeout_grows_by_waiting_time(self):
+        """A VM that never responds was excused, since its caller gave up in a wait."""
         waits = CpuWaits()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.wait_for_3_s, waits)
@@ -97,8 +97,8 @@
         waits.add_sample(SchedstatSample(3.5, 3.5, 0.1, 3.0))
 
     @on_real_clock
-    async def test_process_that_stands_still_waits_for_no_processor(self):
-        """A VM that is blocked is excused as one that is kept from running."""
+    async def test_paused_process_does_not_wait_for_cpu(self):
+        """A paused VM must not be excused as one that waits for a CPU."""
         waits = CpuWaits()
         waits.start_process()
         process = await trio.lowlevel.open_process(
