--- a/tests/platform/soak/callers.py
+++ b/tests/platform/soak/callers.py
@@ -175,8 +175,8 @@
 
     async def _resolve(self):
         vm = self.rng.choice(self.vms)
-        place = f"region=region-{self.domain % 2}&zone=domain-{self.domain}"
-        path = f"/plantainshed/resolve?name={HOST}&{place}"
+        locality = f"region=region-{self.domain % 2}&zone=domain-{self.domain}"
+        path = f"/plantainshed/resolve?name={HOST}&{locality}"
         with contextlib.suppress(HttpError, ValueError, KeyError):
             head, body = await fetch(vm.lookup_address, "GET", path, timeout_s=1.0)
             if head.status == 200:
--- a/tests/platform/soak/promises.py
+++ b/tests/platform/soak/promises.py
@@ -28,9 +28,9 @@
 MIN_SERVED_SHARE_AT_END = 0.9
 # Longest time that a VM may take for a request.
 MAX_REQUEST_S = ROUTE_TIMEOUT_S + 0.5 + MARGIN_S
-# Disturbances that must not cut a running request, and those among them during
-# which all other guarantees hold as well.
+# Disturbances that must not cut a running request.
 GRACEFUL_KINDS = frozenset({"vm_stop", *SIGNAL_SEQUENCES})
+# Those of them that suspend no other guarantee either.
 HARMLESS_KINDS = frozenset({"hup_hup"})
 # Disturbances that excuse a process which exits too late.
 PAUSE_KINDS = frozenset({"vm_pause", "stall"})
@@ -221,18 +221,18 @@
         revoked_at = self.world.revoked_at.get(request.key)
         if revoked_at and request.sent_at > revoked_at + REVOKE_S + MARGIN_S:
             self.findings.add("REVOKE", f"{run.request_id} ran with {request.key}")
-        dropped_at = self.world.dropped_at.get(f"/{request.path.split('/')[1]}/")
-        if dropped_at and request.sent_at > dropped_at + CONFIG_APPLY_S + MARGIN_S:
+        removed_at = self.world.removed_at.get(f"/{request.path.split('/')[1]}/")
+        if removed_at and request.sent_at > removed_at + CONFIG_APPLY_S + MARGIN_S:
             self.findings.add("CONFIG", f"{run.request_id} ran on a removed route")
 
     def _check_quotas(self):
         times = defaultdict(list)
         for run in self.world.runs:
             times[run.workspace].append(run.started_at)
-        for workspace, at in times.items():
+        for workspace, started_at in times.items():
             rate, burst = RATE_LIMITS[workspace]
             allowed = (rate * QUOTA_WINDOW_S + burst) * (1 + QUOTA_OVER) + QUOTA_SLACK
-            peak = _peak_in_window(sorted(at), QUOTA_WINDOW_S)
+            peak = _peak_in_window(sorted(started_at), QUOTA_WINDOW_S)
             if peak > allowed:
                 line = f"{workspace}: {peak} runs in a window, {allowed:.0f} allowed"
                 self.findings.add("QUOTA", line)
--- a/tests/platform/soak/world.py
+++ b/tests/platform/soak/world.py
@@ -65,7 +65,7 @@
     )
     # When the store accepted the removal of a key or of a route's prefix.
     revoked_at: dict[str, float] = field(factory=dict)
-    dropped_at: dict[str, float] = field(factory=dict)
+    removed_at: dict[str, float] = field(factory=dict)
     # When the store accepted the first configuration with a key.
     issued_at: dict[str, float] = field(factory=dict)
     extra_routes: set[str] = field(factory=set)
@@ -107,10 +107,10 @@
         if name in self.extra_routes:
             self.extra_routes.discard(name)
             self.write_configuration()
-            self.dropped_at[f"/{name}/"] = trio.current_time()
+            self.removed_at[f"/{name}/"] = trio.current_time()
         else:
             self.extra_routes.add(name)
-            self.dropped_at.pop(f"/{name}/", None)
+            self.removed_at.pop(f"/{name}/", None)
             self.write_configuration()
 
     def register(self, target: Target, **more):
--- a/tests/platform/test_soak.py
+++ b/tests/platform/test_soak.py
@@ -140,7 +140,7 @@
 
     def test_each_sequence_is_drawn(self):
         settings = [SoakSettings(seed, 12.0) for seed in range(40)]
-        drawn = {fault.kind for setting in settings for fault in draw_signals(setting)}
+        drawn = {fault.kind for one in settings for fault in draw_signals(one)}
         self.assertEqual(drawn, set(SIGNAL_SEQUENCES))
 
     def test_faults_of_a_recorded_seed_stay_the_same(self):
@@ -169,7 +169,7 @@
 SIGNALS_DEFAULT_BEFORE_EXIT = """for number in (signal.SIGHUP, signal.SIGTERM):
         signal.signal(number, signal.SIG_DFL)
     time.sleep(0.1)"""
-NEVER_ENDS = IGNORES_SIGNALS_AFTER_STOP.replace("sys.exit(0)", "time.sleep(60)")
+NEVER_EXITS = IGNORES_SIGNALS_AFTER_STOP.replace("sys.exit(0)", "time.sleep(60)")
 # Becomes ready on its first start only.
 NEVER_READY = IGNORES_SIGNALS_AFTER_STOP.replace(
     """print('{"message":"ready"}', flush=True)""",
@@ -232,12 +232,12 @@
         That takes 10 ms or more, and a repeated SIGTERM then ended the gateway with
         status -15.
         """
-        last_moment = IGNORES_SIGNALS_AFTER_STOP.replace(
+        default_before_exit = IGNORES_SIGNALS_AFTER_STOP.replace(
             "sys.exit(0)", SIGNALS_DEFAULT_BEFORE_EXIT
         )
         with mock.patch("tests.platform.soak.signals.MAX_GAPS_S", (0.3,)):
             for kind, status in (("stop_hups", -1), ("stop_agains", -15)):
-                for program in (DEFAULT_SIGNALS_AFTER_STOP, last_moment):
+                for program in (DEFAULT_SIGNALS_AFTER_STOP, default_before_exit):
                     vm = await run_sequences(program, kind)
                     self.assertEqual(violations_at(vm), ["EXIT"])
                     self.assertIn(f"status {status} ", vm.unexpected_exits[0])
@@ -245,7 +245,7 @@
     @on_real_clock
     async def test_process_that_does_not_exit_in_time(self):
         with mock.patch("tests.platform.soak.processes.KILL_AFTER_S", 0.5):
-            vm = await run_sequences(NEVER_ENDS, "stop_change")
+            vm = await run_sequences(NEVER_EXITS, "stop_change")
         self.assertEqual(violations_at(vm), ["EXIT"])
         self.assertEqual(vm.unexpected_exits, [])
         since, until = vm.late_exits[0]
@@ -327,11 +327,11 @@
         broken = BaseExceptionGroup("", [TimeoutError("vm-0 was not ready")])
         with (
             mock.patch("trio.run", side_effect=broken),
-            mock.patch("tests.platform.soak.__main__._save_logs") as keep,
+            mock.patch("tests.platform.soak.__main__._save_logs") as save_logs,
             mock.patch("builtins.print") as printed,
             self.assertRaises(SystemExit) as ended,
         ):
-            keep.return_value = "target/soak/seed-1"
+            save_logs.return_value = "target/soak/seed-1"
             soak(seed=1)
         self.assertEqual(ended.exception.code, ExitCode.FAILED)
         self.assertIn("target/soak/seed-1", printed.call_args.args[0])
@@ -484,7 +484,7 @@
         self.assertEqual(found, ["REVOKE"])
         request = make_request(path="/extra-0/1")
         run = make_run(path="/extra-0/1")
-        found = violated_rules([request], [run], dropped_at={"/extra-0/": 6.0})
+        found = violated_rules([request], [run], removed_at={"/extra-0/": 6.0})
         self.assertEqual(found, ["CONFIG"])
 
     def test_request_held_past_its_timeout(self):
@@ -524,13 +524,13 @@
     def test_request_cut_by_overlapping_signals(self):
         cut = make_request(status=0)
         for kind in SIGNAL_SEQUENCES:
-            series = Disturbance(kind, "vm-0", 9.0, 13.0)
+            signals = Disturbance(kind, "vm-0", 9.0, 13.0)
             self.assertEqual(
-                violated_rules([cut], [make_run()], [series]), ["LOST"], kind
+                violated_rules([cut], [make_run()], [signals]), ["LOST"], kind
             )
             kill = Disturbance("vm_kill", "vm-0", 9.5, 10.5)
             self.assertEqual(
-                violated_rules([cut], [make_run()], [series, kill]), [], kind
+                violated_rules([cut], [make_run()], [signals, kill]), [], kind
             )
             far = Disturbance(kind, "vm-1", 9.0, 13.0)
             self.assertEqual(violated_rules([cut], [make_run()], [far]), [], kind)
