--- a/tests/platform/soak/faults.py
+++ b/tests/platform/soak/faults.py
@@ -1,4 +1,4 @@
-"""Faults drawn from a seed, and how each is done from outside."""
+"""Draws faults from a seed and injects them from outside the gateways."""
 
 import random
 import signal
@@ -8,45 +8,54 @@
 
 from .processes import Vm
 from .settings import SoakSettings
-from .world import LARGE, SMALL, Target, World
-
-# Scope of a disturbance that touches everything.
-ALL = "all"
-# How often the soak looks whether it stood still, and how late is a stall: half
-# of the least time that a check allows beyond a bound.
-STALL_PERIOD_S = 0.1
-STALL_S = 0.5
-SPOILS = ("unsigned", "truncated", "reset", "extra", "after", "fails", "cut", "garbage")
+from .world import LARGE_WORKSPACE, SMALL_WORKSPACE, Target, World
+
+# Scope of a disturbance that affects every VM and target.
+SCOPE_ALL = "all"
+# How often the soak checks whether it stalled itself, and how late a wake-up counts
+# as a stall: half of the smallest margin that a check allows beyond a time limit.
+STALL_CHECK_PERIOD_S = 0.1
+STALL_THRESHOLD_S = 0.5
+RESPONSE_FAULTS = (
+    "unsigned",
+    "truncated",
+    "reset",
+    "extra",
+    "after",
+    "fails",
+    "cut",
+    "garbage",
+)
 
 
 @frozen
 class Fault:
-    """One disturbance.
+    """One fault to inject.
 
     Parameters
     ----------
     kind : str
-        Name of a method of `Faults`.
-    at, for_s : float
-        Seconds from the start of the load, and how long it lasts.
-    number : int
-        Draws which VM or target it hits.
+        Name of the `FaultInjector` method that injects it, or of a signal sequence.
+    start_s, duration_s : float
+        Start, in seconds after the load starts, and length.
+    random_bits : int
+        Selects the VM or target, and other details of the fault.
     """
 
     kind: str
-    at: float
-    for_s: float
-    number: int
+    start_s: float
+    duration_s: float
+    random_bits: int
 
 
 @define
 class Disturbance:
-    """A time in which promises with a bound in time do not hold.
+    """A period during which time limits are not guaranteed.
 
     Parameters
     ----------
     scope : str
-        A VM's name, a target's instance, ``store``, or `ALL`.
+        Name of a VM, instance of a target, ``store``, or `SCOPE_ALL`.
     """
 
     kind: str
@@ -55,7 +64,7 @@
     ended_at: float = float("inf")
 
 
-KINDS = (
+FAULT_KINDS = (
     "store_down",
     "store_silent",
     "store_slow",
@@ -81,24 +90,24 @@
 )
 
 
-def draw(settings: SoakSettings) -> list[Fault]:
-    """Return the faults of a soak; some come in series, many overlap."""
+def draw_faults(settings: SoakSettings) -> list[Fault]:
+    """Draw the faults of a soak: some repeat three times, and many overlap."""
     rng = random.Random(f"{settings.seed}/faults")
     faults = []
     at = 1.0
     while at < settings.duration_s:
-        kind = rng.choice(KINDS)
+        kind = rng.choice(FAULT_KINDS)
         for turn in range(3 if rng.random() < 0.15 else 1):
             begins = at + turn * rng.uniform(0.2, 1.5)
             faults.append(
                 Fault(kind, begins, rng.uniform(0.3, 4.0), rng.getrandbits(16))
             )
         at += rng.expovariate(settings.faults_per_s)
-    return sorted(faults, key=lambda fault: fault.at)
+    return sorted(faults, key=lambda fault: fault.start_s)
 
 
-class Faults:
-    """Does faults, and keeps which times they disturb.
+class FaultInjector:
+    """Injects faults and records the periods that they disturb.
 
     Parameters
     ----------
@@ -113,232 +122,236 @@
         self.stalls_s: list[float] = []
 
     async def watch_own_stalls(self):
-        """Note when this process itself, or the whole machine, stood still.
+        """Record when this process, or the whole machine, stalled.
 
-        What it then measures of times is not the gateways' doing.
+        The gateways are not the cause of delays measured during a stall.
         """
         while True:
-            woken_at = trio.current_time() + STALL_PERIOD_S
+            woken_at = trio.current_time() + STALL_CHECK_PERIOD_S
             try:
-                await trio.sleep(STALL_PERIOD_S)
+                await trio.sleep(STALL_CHECK_PERIOD_S)
             finally:
-                # Also when the load ends in the moment in which a stall does.
-                self._note_stall(woken_at)
+                # Runs on cancellation too: the load may end just as a stall ends.
+                self._record_stall(woken_at)
 
-    def _note_stall(self, woken_at: float):
+    def _record_stall(self, woken_at: float):
         now = trio.current_time()
-        if now - woken_at > STALL_S:
+        if now - woken_at > STALL_THRESHOLD_S:
             self.stalls_s.append(round(now - woken_at, 2))
-            stall = Disturbance("stall", ALL, woken_at - STALL_PERIOD_S, now)
+            stall = Disturbance(
+                "stall", SCOPE_ALL, woken_at - STALL_CHECK_PERIOD_S, now
+            )
             self.disturbances.append(stall)
 
     async def run(self, plan: list[Fault]):
-        """Do all faults of a plan, each in its time."""
+        """Inject all faults of a plan, each at its start time."""
         began_at = trio.current_time()
         async with trio.open_nursery() as nursery:
             for fault in plan:
-                await trio.sleep_until(began_at + fault.at)
+                await trio.sleep_until(began_at + fault.start_s)
                 nursery.start_soon(getattr(self, fault.kind), fault)
 
-    async def _during(self, fault: Fault, *scopes: str):
-        """Wait for as long as a fault lasts, as a disturbance of its scopes."""
+    async def _disturb(self, fault: Fault, *scopes: str):
+        """Record a disturbance per scope and sleep for the duration of the fault."""
         now = trio.current_time()
-        noted = [Disturbance(fault.kind, scope, now) for scope in scopes]
-        self.disturbances += noted
-        await trio.sleep(fault.for_s)
-        return noted
+        disturbances = [Disturbance(fault.kind, scope, now) for scope in scopes]
+        self.disturbances += disturbances
+        await trio.sleep(fault.duration_s)
+        return disturbances
 
-    def _end(self, noted: list[Disturbance]):
-        for one in noted:
-            one.ended_at = trio.current_time()
+    def _end_disturbances(self, disturbances: list[Disturbance]):
+        for disturbance in disturbances:
+            disturbance.ended_at = trio.current_time()
 
-    def _vm(self, fault: Fault) -> Vm:
-        return self.vms[fault.number % len(self.vms)]
+    def _pick_vm(self, fault: Fault) -> Vm:
+        return self.vms[fault.random_bits % len(self.vms)]
 
-    def _target(self, fault: Fault) -> Target:
-        return self.world.targets[fault.number % len(self.world.targets)]
+    def _pick_target(self, fault: Fault) -> Target:
+        return self.world.targets[fault.random_bits % len(self.world.targets)]
 
     # The store.
 
     async def store_down(self, fault: Fault):
-        """Answer all calls with 503."""
-        await self._store_answers(fault, "busy")
+        """Make the store answer all calls with 503."""
+        await self._apply_store_mode(fault, "busy")
 
     async def store_silent(self, fault: Fault):
-        """Answer no call."""
-        await self._store_answers(fault, "silent")
+        """Make the store answer no call."""
+        await self._apply_store_mode(fault, "silent")
 
-    async def _store_answers(self, fault: Fault, how: str):
-        self.world.store.answers = how
-        noted = await self._during(fault, "store")
+    async def _apply_store_mode(self, fault: Fault, mode: str):
+        self.world.store.answers = mode
+        disturbances = await self._disturb(fault, "store")
         self.world.store.answers = "yes"
-        self._end(noted)
+        self._end_disturbances(disturbances)
 
     async def store_slow(self, fault: Fault):
-        """Delay all that passes between VMs and the store."""
+        """Delay all traffic between VMs and the store."""
         for vm in self.vms:
-            vm.store.delay_s = 0.2
-        noted = await self._during(fault, "store")
+            vm.store_proxy.delay_s = 0.2
+        disturbances = await self._disturb(fault, "store")
         for vm in self.vms:
-            vm.store.delay_s = 0.0
-        self._end(noted)
+            vm.store_proxy.delay_s = 0.0
+        self._end_disturbances(disturbances)
 
     async def store_loses_answers(self, fault: Fault):
-        """Do writes and never answer them."""
+        """Make the store perform writes without answering them."""
         self.world.store.loses_answers = True
-        noted = await self._during(fault, "store")
+        disturbances = await self._disturb(fault, "store")
         self.world.store.loses_answers = False
-        self._end(noted)
+        self._end_disturbances(disturbances)
 
     async def store_forgets(self, fault: Fault):
-        """Forget the history, so that watches end with 410."""
+        """Make the store discard its history, so that watches end with 410."""
         self.world.store.forget_history()
-        self._end(await self._during(fault, "store"))
+        self._end_disturbances(await self._disturb(fault, "store"))
 
     async def store_turns_away(self, fault: Fault):
-        """Reset one VM's connections to the store, and refuse new ones."""
-        vm = self._vm(fault)
-        vm.store.accepts = False
-        vm.store.reset_all()
-        noted = await self._during(fault, vm.name)
-        vm.store.heal()
-        self._end(noted)
+        """Reset one VM's connections to the store and any new ones it opens."""
+        vm = self._pick_vm(fault)
+        vm.store_proxy.accepts = False
+        vm.store_proxy.reset_all()
+        disturbances = await self._disturb(fault, vm.name)
+        vm.store_proxy.clear_faults()
+        self._end_disturbances(disturbances)
 
     async def store_cut_one_way(self, fault: Fault):
-        """Let calls reach the store, and no answer come back."""
-        vm = self._vm(fault)
-        vm.store.backward = False
-        noted = await self._during(fault, vm.name)
-        vm.store.heal()
-        self._end(noted)
+        """Pass one VM's calls to the store but hold back the answers."""
+        vm = self._pick_vm(fault)
+        vm.store_proxy.backward = False
+        disturbances = await self._disturb(fault, vm.name)
+        vm.store_proxy.clear_faults()
+        self._end_disturbances(disturbances)
 
     # Targets.
 
     async def target_silent(self, fault: Fault):
-        """Let nothing pass to and from a target; connections stay open."""
-        target = self._target(fault)
-        target.door.forward = target.door.backward = False
-        noted = await self._during(fault, target.instance)
-        target.door.heal()
-        self._end(noted)
+        """Block all traffic of a target while its connections stay open."""
+        target = self._pick_target(fault)
+        target.proxy.forward = target.proxy.backward = False
+        disturbances = await self._disturb(fault, target.instance)
+        target.proxy.clear_faults()
+        self._end_disturbances(disturbances)
 
     async def target_slow(self, fault: Fault):
-        """Delay what passes to and from a target."""
-        target = self._target(fault)
-        target.door.delay_s = 0.3
-        noted = await self._during(fault, target.instance)
-        target.door.heal()
-        self._end(noted)
+        """Delay all traffic to and from a target."""
+        target = self._pick_target(fault)
+        target.proxy.delay_s = 0.3
+        disturbances = await self._disturb(fault, target.instance)
+        target.proxy.clear_faults()
+        self._end_disturbances(disturbances)
 
     async def target_resets(self, fault: Fault):
-        """Reset a target's connections, again and again."""
-        target = self._target(fault)
-        noted = await self._during(Fault(fault.kind, 0, 0, 0), target.instance)
-        until = trio.current_time() + fault.for_s
+        """Reset the connections of a target repeatedly."""
+        target = self._pick_target(fault)
+        disturbances = await self._disturb(Fault(fault.kind, 0, 0, 0), target.instance)
+        until = trio.current_time() + fault.duration_s
         while trio.current_time() < until:
-            target.door.reset_all()
+            target.proxy.reset_all()
             await trio.sleep(0.2)
-        self._end(noted)
+        self._end_disturbances(disturbances)
 
     async def target_spoils(self, fault: Fault):
-        """Have a target's next answers go wrong."""
-        target = self._target(fault)
-        rng = random.Random(fault.number)
-        target.spoils += [rng.choice(SPOILS) for _ in range(6)]
-        self._end(await self._during(fault, target.instance))
+        """Make the next six responses of a target faulty."""
+        target = self._pick_target(fault)
+        rng = random.Random(fault.random_bits)
+        target.spoils += [rng.choice(RESPONSE_FAULTS) for _ in range(6)]
+        self._end_disturbances(await self._disturb(fault, target.instance))
 
     async def target_leaves(self, fault: Fault):
-        """Drain a target, end it, and have it come back cold."""
-        target = self._target(fault)
-        if target.leaving_at is not None:
+        """Drain a target, take it down, and register it again as cold."""
+        target = self._pick_target(fault)
+        if target.draining_since is not None:
             return
         self.world.register(target, state="draining")
-        target.leaving_at = trio.current_time()
+        target.draining_since = trio.current_time()
         await trio.sleep(4.0)
-        await self._away(target, fault)
+        await self._take_target_down(target, fault)
 
     async def target_crashes(self, fault: Fault):
-        """End a target at once; its entry goes some time later."""
-        target = self._target(fault)
-        if target.leaving_at is None:
-            await self._away(target, fault)
-
-    async def _away(self, target: Target, fault: Fault):
-        target.door.accepts = False
-        target.door.reset_all()
-        noted = await self._during(fault, target.instance)
-        with_entry = self.world.store.objects["servers"].get(target.instance)
-        if with_entry:
+        """Take a target down at once; its entry is deleted later."""
+        target = self._pick_target(fault)
+        if target.draining_since is None:
+            await self._take_target_down(target, fault)
+
+    async def _take_target_down(self, target: Target, fault: Fault):
+        target.proxy.accepts = False
+        target.proxy.reset_all()
+        disturbances = await self._disturb(fault, target.instance)
+        entry = self.world.store.objects["servers"].get(target.instance)
+        if entry:
             self.world.store.delete("servers", target.instance)
         await trio.sleep(0.5)
-        target.door.heal()
-        target.leaving_at = None
+        target.proxy.clear_faults()
+        target.draining_since = None
         self.world.register(
-            target, warmupLeft="500ms", born=1796000000000 + fault.number
+            target, warmupLeft="500ms", born=1796000000000 + fault.random_bits
         )
-        self._end(noted)
+        self._end_disturbances(disturbances)
 
     # VMs.
 
     async def vm_pause(self, fault: Fault):
-        """Stop a process for a while."""
-        vm = self._vm(fault)
+        """Pause a gateway process with SIGSTOP."""
+        vm = self._pick_vm(fault)
         vm.send(signal.SIGSTOP)
-        noted = await self._during(fault, vm.name)
+        disturbances = await self._disturb(fault, vm.name)
         vm.send(signal.SIGCONT)
-        self._end(noted)
+        self._end_disturbances(disturbances)
 
     async def vm_kill(self, fault: Fault):
-        """Kill a process; it is started again."""
-        vm = self._vm(fault)
+        """Kill a gateway process, which is then restarted."""
+        vm = self._pick_vm(fault)
         vm.kill()
-        self._end(await self._during(fault, vm.name))
+        self._end_disturbances(await self._disturb(fault, vm.name))
 
     async def many_killed(self, fault: Fault):
-        """Kill half of all processes at once."""
-        hit = self.vms[fault.number % 2 :: 2]
-        for vm in hit:
+        """Kill half of the gateway processes at once."""
+        killed = self.vms[fault.random_bits % 2 :: 2]
+        for vm in killed:
             vm.kill()
-        self._end(await self._during(fault, *(vm.name for vm in hit)))
+        self._end_disturbances(await self._disturb(fault, *(vm.name for vm in killed)))
 
     async def vm_stop(self, fault: Fault):
-        """Stop a process as planned; it is started again."""
-        vm = self._vm(fault)
-        noted = [Disturbance(fault.kind, vm.name, trio.current_time())]
-        self.disturbances += noted
+        """Stop a gateway process gracefully; it is then restarted."""
+        vm = self._pick_vm(fault)
+        disturbances = [Disturbance(fault.kind, vm.name, trio.current_time())]
+        self.disturbances += disturbances
         await vm.stop()
-        self._end(noted)
+        self._end_disturbances(disturbances)
 
     async def vm_hup(self, fault: Fault):
-        """Change a settings file, with a signal or without."""
-        vm = self._vm(fault)
+        """Change a settings file, with SIGHUP in two cases out of three."""
+        vm = self._pick_vm(fault)
         vm.change_settings()
-        if fault.number % 3:
+        if fault.random_bits % 3:
             vm.send(signal.SIGHUP)
 
     # The operator.
 
     async def key_withdrawn(self, fault: Fault):
-        """Replace a workspace's key."""
-        self.world.drop_key(LARGE if fault.number % 3 else SMALL)
+        """Replace the API key of a workspace."""
+        self.world.replace_key(
+            LARGE_WORKSPACE if fault.random_bits % 3 else SMALL_WORKSPACE
+        )
 
     async def route_changed(self, fault: Fault):
-        """Add a route, or drop it."""
-        self.world.change_route(f"extra-{fault.number % 2}")
+        """Add a route, or remove it if it exists."""
+        self.world.toggle_route(f"extra-{fault.random_bits % 2}")
 
     async def configurations(self, fault: Fault):
-        """Write configurations in quick succession."""
+        """Write eight configurations in quick succession."""
         for _ in range(8):
             self.world.write_configuration()
             await trio.sleep(0.1)
 
     async def domain_evacuated(self, fault: Fault):
-        """Evacuate a failure domain and take it back."""
+        """Evacuate a failure domain, then end the evacuation."""
         domains = self.world.settings.domains
-        name = f"domain-{fault.number % domains}"
+        name = f"domain-{fault.random_bits % domains}"
         evacuations = self.world.store.objects.get("evacuations", {})
         if name in evacuations:
             return
         self.world.store.put("evacuations", name, {})
-        await trio.sleep(max(2.0, fault.for_s))
+        await trio.sleep(max(2.0, fault.duration_s))
         self.world.store.delete("evacuations", name)
--- a/tests/platform/soak/processes.py
+++ b/tests/platform/soak/processes.py
@@ -1,4 +1,4 @@
-"""The gateways of a soak, each a process of its own at its own loopback IP."""
+"""Runs the gateways of a soak, each as a process with its own loopback IP."""
 
 import contextlib
 import os
@@ -14,201 +14,206 @@
 
 from .proxy import Proxy, running_proxy
 from .settings import GRACE_S, SoakSettings
-from .waits import Waits, scheduled_s
+from .waits import CpuWaits, cpu_times_s
 
-PROGRAM = (sys.executable, "-m", "plantainshed_platform")
-RESTART_S = 0.3
-STARTED = b'"message":"start"'
-READY = b'"message":"ready"'
-# A killed process is over at once; one that was told to stop after its grace.
+GATEWAY_COMMAND = (sys.executable, "-m", "plantainshed_platform")
+RESTART_DELAY_S = 0.3
+STARTED_MESSAGE = b'"message":"start"'
+READY_MESSAGE = b'"message":"ready"'
+# A gateway that was asked to stop is killed if it outlives its grace period by 2 s.
 KILL_AFTER_S = GRACE_S + 2.0
 
 
 @define
 class Vm:
-    """One gateway.
+    """One gateway process and its restarts.
 
     Attributes
     ----------
-    store : Proxy
-        Its way to the store.
+    store_proxy : Proxy
+        Proxy through which it reaches the store.
     process : trio.Process or None
     stopping_since : float or None
-        When it was told to stop.
+        When the current process was sent SIGTERM to stop.
     was_starting : bool
-        Whether it had not written its first line when it was told to stop.
-    sent : list of str
-        Signals that the present process was sent.
-    wrong_ends : list of str
-        How processes ended that should have gone on, or ended otherwise.
-    late : list of tuple
-        From when until when a process that was told to stop had not ended.
-    not_ready : list of str
-        Processes that were hung up while they started and did not get ready.
+        Whether it had not yet logged its first line at that time.
+    sent_signals : list of str
+        Names of the signals sent to the current process.
+    unexpected_exits : list of str
+        Descriptions of exits that were not requested or had an unexpected status.
+    late_exits : list of tuple
+        Times of SIGTERM and SIGKILL of each process that did not stop in time.
+    failed_starts : list of str
+        Processes that received SIGHUP during startup and did not become ready.
     stops : list of tuple
-        From when until when processes stopped.
-    waits : Waits
-        What its processes waited for a processor.
+        Start and end of each requested stop.
+    waits : CpuWaits
+        How long its processes waited for a CPU.
     """
 
     name: str
     failure_domain: str
     ip: str
-    store: Proxy
-    settings: Path
-    log: Path
+    store_proxy: Proxy
+    settings_file: Path
+    log_file: Path
     ports: list[int]
-    program: tuple[str, ...] = PROGRAM
+    command: tuple[str, ...] = GATEWAY_COMMAND
     process: trio.Process | None = None
     stopping_since: float | None = None
     was_starting: bool = False
     is_killed: bool = False
-    revision: int = 0
-    log_from: int = 0
-    sent: list[str] = field(factory=list)
-    wrong_ends: list[str] = field(factory=list)
-    late: list[tuple[float, float]] = field(factory=list)
-    not_ready: list[str] = field(factory=list)
+    settings_revision: int = 0
+    log_offset: int = 0
+    sent_signals: list[str] = field(factory=list)
+    unexpected_exits: list[str] = field(factory=list)
+    late_exits: list[tuple[float, float]] = field(factory=list)
+    failed_starts: list[str] = field(factory=list)
     stops: list[tuple[float, float]] = field(factory=list)
-    waits: Waits = field(factory=Waits)
+    waits: CpuWaits = field(factory=CpuWaits)
 
     @property
-    def callers(self) -> str:
-        """Where callers connect."""
+    def request_address(self) -> str:
+        """Address for callers' requests."""
         return f"{self.ip}:{self.ports[0]}"
 
     @property
-    def lookup(self) -> str:
-        """Where look-ups are answered."""
+    def lookup_address(self) -> str:
+        """Address that answers look-ups."""
         return f"{self.ip}:{self.ports[2]}"
 
     @property
-    def runs(self) -> bool:
-        """Whether there is a process."""
+    def is_running(self) -> bool:
+        """Whether the gateway process is running."""
         return self.process is not None and self.process.returncode is None
 
     @property
     def is_ready(self) -> bool:
-        """Whether the present process has said that it serves."""
-        return self.runs and self.has_written(READY)
+        """Whether the current process has logged that it is ready."""
+        return self.is_running and self.has_logged(READY_MESSAGE)
 
     @property
     def waited_s(self) -> float:
-        """How long the present process has waited for a processor."""
-        return scheduled_s(self.process.pid)[1] if self.runs else 0.0
+        """How long the current process has waited for a CPU."""
+        return cpu_times_s(self.process.pid)[1] if self.is_running else 0.0
 
-    def has_written(self, line: bytes) -> bool:
-        """Tell whether the present process has written a line."""
-        with self.log.open("rb") as written:
-            written.seek(self.log_from)
-            return line in written.read()
+    def has_logged(self, line: bytes) -> bool:
+        """Return whether the log of the current process contains a text."""
+        with self.log_file.open("rb") as log:
+            log.seek(self.log_offset)
+            return line in log.read()
 
     def send(self, number: int):
-        """Send a signal, if the process runs."""
-        if self.runs:
-            self.sent.append(signal.Signals(number).name)
+        """Send a signal if the process is running."""
+        if self.is_running:
+            self.sent_signals.append(signal.Signals(number).name)
             self.process.send_signal(number)
 
     async def run(self):
-        """Keep the process running until cancelled; it ends with the task."""
+        """Run the process, restarting it on exit, and kill it on cancellation."""
         try:
             while True:
                 await self._run_once()
-                await trio.sleep(RESTART_S)
+                await trio.sleep(RESTART_DELAY_S)
         finally:
             self.send(signal.SIGCONT)
             self.send(signal.SIGKILL)
             with trio.CancelScope(shield=True):
-                await self._until_ended()
+                await self._wait_for_exit()
 
-    async def _until_ended(self):
+    async def _wait_for_exit(self):
         if self.process is not None:
             await self.process.wait()
 
     async def _run_once(self):
-        with self.log.open("ab") as out:
-            self.log_from = out.tell()
-            self.waits.begin()
+        with self.log_file.open("ab") as out:
+            self.log_offset = out.tell()
+            self.waits.start_process()
             process = await trio.lowlevel.open_process(
-                self.program,
-                env={**os.environ, "PLANTAINSHED_NODE_FILE": str(self.settings)},
+                self.command,
+                env={**os.environ, "PLANTAINSHED_NODE_FILE": str(self.settings_file)},
                 stdout=out,
                 stderr=subprocess.STDOUT,
             )
-        # Only now: what came meanwhile was for the process before, or for none.
+        # Set only now: signals sent before were for the previous process or for none.
         self.process, self.stopping_since, self.is_killed = process, None, False
-        self.sent = []
+        self.sent_signals = []
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.waits.watch, process)
             await process.wait()
             nursery.cancel_scope.cancel()
-        self.note_end(process.returncode)
+        self.record_exit(process.returncode)
 
-    def note_end(self, status: int):
-        """Judge how the process ended.
+    def record_exit(self, status: int):
+        """Record the exit of the process and check its status.
 
-        One that was told to stop ends with 0, whatever else it was sent. Only
-        before its first line it cannot know better than the system, which ends it.
+        A process that was asked to stop exits with 0, whatever other signals it got.
+        The exception is SIGTERM before its first log line: its handlers may not be
+        installed yet, so the default action ends it.
         """
-        sent = " ".join(self.sent[-6:]) or "no signal"
+        sent = " ".join(self.sent_signals[-6:]) or "no signal"
         line = f"ended with status {status} after {sent}"
         if self.stopping_since is None:
             if not (self.is_killed and status == -signal.SIGKILL):
-                self.wrong_ends.append(f"{line}, not told to stop")
+                self.unexpected_exits.append(f"{line}, without a request to stop")
             return
         now = trio.current_time()
         self.stops.append((self.stopping_since, now))
-        is_right = (
+        is_expected = (
             status == 0
             or (self.is_killed and status == -signal.SIGKILL)
             or (self.was_starting and status == -signal.SIGTERM)
         )
-        if not is_right:
+        if not is_expected:
             since_s = now - self.stopping_since
-            self.wrong_ends.append(f"{line}, {since_s:.2f} s after it was told to stop")
+            self.unexpected_exits.append(
+                f"{line}, {since_s:.2f} s after it was asked to stop"
+            )
 
     def kill(self):
-        """End the process as a crash does."""
-        self.is_killed = self.is_killed or self.runs
+        """Kill the process with SIGKILL, as a crash would."""
+        self.is_killed = self.is_killed or self.is_running
         self.send(signal.SIGCONT)
         self.send(signal.SIGKILL)
 
     async def stop(self):
-        """Tell the process to stop, and see to it that it does."""
-        if self.stopping_since is not None or not self.runs:
+        """Stop the process with SIGTERM; kill it if it does not exit in time."""
+        if self.stopping_since is not None or not self.is_running:
             return
         process, self.stopping_since = self.process, trio.current_time()
-        self.was_starting = not self.has_written(STARTED)
+        self.was_starting = not self.has_logged(STARTED_MESSAGE)
         self.send(signal.SIGTERM)
         with trio.move_on_after(KILL_AFTER_S):
             await process.wait()
             return
-        self.late.append((self.stopping_since, trio.current_time()))
+        self.late_exits.append((self.stopping_since, trio.current_time()))
         self.kill()
 
     def change_settings(self):
-        """Write the settings file anew, with a field that it does not know."""
-        self.revision += 1
-        text = self.settings.read_text().partition("[future]")[0]
-        self.settings.write_text(f"{text}[future]\nrevision = {self.revision}\n")
+        """Rewrite the settings file with a field that the gateway does not know."""
+        self.settings_revision += 1
+        text = self.settings_file.read_text().partition("[future]")[0]
+        self.settings_file.write_text(
+            f"{text}[future]\nrevision = {self.settings_revision}\n"
+        )
 
 
 @contextlib.asynccontextmanager
 async def running_vms(settings: SoakSettings, store_address: str, folder: Path):
-    """Run all gateways for the length of a block."""
+    """Run all gateways for the duration of a block."""
     ports = free_ports(6)
-    # Soaks that run at once have each a range of loopback addresses.
-    net = 1 + (os.getpid() % 250)
+    # The process ID selects a loopback range, so that concurrent soaks do not clash.
+    subnet = 1 + (os.getpid() % 250)
     domains = [f"domain-{n}" for n in range(settings.domains)]
     zones = "".join(f"{name} = region-{n % 2}\n" for n, name in enumerate(domains))
-    ips = [f"127.{net}.{n % settings.domains}.{n + 1}" for n in range(settings.vms)]
+    ips = [f"127.{subnet}.{n % settings.domains}.{n + 1}" for n in range(settings.vms)]
     vms = []
     async with contextlib.AsyncExitStack() as stack:
         for number, ip in enumerate(ips):
             domain = number % settings.domains
             proxy = await stack.enter_async_context(running_proxy(store_address))
-            file = folder / f"vm-{number}.ini"
-            file.write_text(
+            settings_file = folder / f"vm-{number}.ini"
+            settings_file.write_text(
                 filled_template(
                     proxy.address,
                     ports,
@@ -221,8 +226,18 @@
                     **{"bounds.grace": f"{GRACE_S:g}s"},
                 )
             )
-            log = folder / f"vm-{number}.log"
-            vms.append(Vm(f"vm-{number}", domains[domain], ip, proxy, file, log, ports))
+            log_file = folder / f"vm-{number}.log"
+            vms.append(
+                Vm(
+                    f"vm-{number}",
+                    domains[domain],
+                    ip,
+                    proxy,
+                    settings_file,
+                    log_file,
+                    ports,
+                )
+            )
         nursery = await stack.enter_async_context(trio.open_nursery())
         for vm in vms:
             nursery.start_soon(vm.run)
--- a/tests/platform/soak/proxy.py
+++ b/tests/platform/soak/proxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy that delays, silences, cuts one way or resets connections."""
+"""A loopback proxy that delays, blocks (one way or both) or resets connections."""
 
 import contextlib
 
@@ -6,23 +6,23 @@
 from attrs import define, field
 
 SOCKET_ERRORS = (trio.BrokenResourceError, trio.ClosedResourceError, OSError)
-PIECE_BYTES = 65536
+CHUNK_BYTES = 65536
 
 
 @define
 class Proxy:
-    """One listening address in front of another.
+    """A TCP proxy in front of one upstream address.
 
     Attributes
     ----------
     upstream : str
-        ``IP:PORT`` that connections are passed to.
+        ``IP:PORT`` to which connections are forwarded.
     delay_s : float
-        Added to each piece, each way.
+        Delay added to each chunk, in each direction.
     forward, backward : bool
-        Whether bytes pass towards upstream, and back.
+        Whether bytes pass to upstream, and from upstream.
     accepts : bool
-        False resets each new connection.
+        Whether new connections are accepted; otherwise they are reset.
     """
 
     upstream: str
@@ -34,13 +34,13 @@
     open_streams: set = field(factory=set)
     changed: trio.Event = field(factory=trio.Event)
 
-    def heal(self):
-        """Let everything pass again."""
+    def clear_faults(self):
+        """Remove all delays and blocks and accept connections again."""
         self.delay_s, self.forward, self.backward, self.accepts = 0.0, True, True, True
         self.wake()
 
     def wake(self):
-        """Have held bytes look again whether they may pass."""
+        """Wake blocked relays so that they check again whether bytes may pass."""
         self.changed.set()
         self.changed = trio.Event()
 
@@ -51,27 +51,31 @@
                 stream.socket.close()
 
     async def serve(self, stream):
-        """Pass one connection on until either side ends it."""
+        """Forward one connection until either side closes it."""
         if not self.accepts:
             await trio.aclose_forcefully(stream)
             return
         host, _, port = self.upstream.rpartition(":")
         try:
-            other = await trio.open_tcp_stream(host, int(port))
+            upstream_stream = await trio.open_tcp_stream(host, int(port))
         except OSError:
             await trio.aclose_forcefully(stream)
             return
-        self.open_streams |= {stream, other}
+        self.open_streams |= {stream, upstream_stream}
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._pass, stream, other, True, nursery.cancel_scope)
-            nursery.start_soon(self._pass, other, stream, False, nursery.cancel_scope)
-        for one in (stream, other):
-            self.open_streams.discard(one)
-            await trio.aclose_forcefully(one)
-
-    async def _pass(self, source, sink, is_forward: bool, scope):
+            nursery.start_soon(
+                self._relay, stream, upstream_stream, True, nursery.cancel_scope
+            )
+            nursery.start_soon(
+                self._relay, upstream_stream, stream, False, nursery.cancel_scope
+            )
+        for endpoint in (stream, upstream_stream):
+            self.open_streams.discard(endpoint)
+            await trio.aclose_forcefully(endpoint)
+
+    async def _relay(self, source, sink, is_forward: bool, scope):
         with contextlib.suppress(*SOCKET_ERRORS):
-            while data := await source.receive_some(PIECE_BYTES):
+            while data := await source.receive_some(CHUNK_BYTES):
                 if self.delay_s:
                     await trio.sleep(self.delay_s)
                 while not (self.forward if is_forward else self.backward):
@@ -82,7 +86,7 @@
 
 @contextlib.asynccontextmanager
 async def running_proxy(upstream: str):
-    """Serve a proxy on loopback for the length of a block."""
+    """Serve a proxy on loopback for the duration of a block."""
     proxy = Proxy(upstream)
     listeners = await trio.open_tcp_listeners(0, host="127.0.0.1", backlog=512)
     proxy.address = f"127.0.0.1:{listeners[0].socket.getsockname()[1]}"
--- a/tests/platform/test_soak.py
+++ b/tests/platform/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak finds what it is meant to find."""
+"""Tests that the soak detects the violations that it is meant to detect."""
 
 import contextlib
 import os
@@ -16,24 +16,36 @@
 
 from tests.platform.soak.__main__ import (
     ExitCode,
-    _on_processors,
-    _until_ready,
-    _until_run_again,
+    _cpu_times,
+    _wait_until_ready,
+    _wait_until_scheduled,
     soak,
 )
-from tests.platform.soak.callers import Seen
-from tests.platform.soak.faults import ALL, KINDS, Disturbance, Fault, Faults, draw
+from tests.platform.soak.callers import SentRequest
+from tests.platform.soak.faults import (
+    FAULT_KINDS,
+    SCOPE_ALL,
+    Disturbance,
+    Fault,
+    FaultInjector,
+    draw_faults,
+)
 from tests.platform.soak.processes import Vm
-from tests.platform.soak.promises import Promises
+from tests.platform.soak.promises import InvariantChecker
 from tests.platform.soak.settings import SoakSettings
-from tests.platform.soak.signals import MOST, SERIES, draw_signals, run_signals
-from tests.platform.soak.waits import Reading, Wait
-from tests.platform.soak.world import LARGE, SMALL, Run, World
+from tests.platform.soak.signals import (
+    MAX_SEQUENCES,
+    SIGNAL_SEQUENCES,
+    draw_signals,
+    run_signals,
+)
+from tests.platform.soak.waits import CpuWait, SchedstatSample
+from tests.platform.soak.world import LARGE_WORKSPACE, SMALL_WORKSPACE, Run, World
 from tests.support import on_mock_clock, on_real_clock
 
 SETTINGS = SoakSettings(seed=5, duration_s=60.0)
-# What seed 54 draws for 12 s.
-PINNED = ["target_spoils", "target_spoils", "target_spoils", "target_silent"]
+# Kinds that seed 54 draws for a duration of 12 s.
+PINNED_FAULTS = ["target_spoils", "target_spoils", "target_spoils", "target_silent"]
 
 
 def make_vm() -> Vm:
@@ -41,98 +53,105 @@
     return Vm("vm-0", "domain-0", "127.0.0.1", None, None, None, ports)
 
 
-def make_seen(name="r-1", path="/read/1", status=200, sent_at=10.0, **more) -> Seen:
-    return Seen(
+def make_request(
+    name="r-1", path="/read/1", status=200, sent_at=10.0, **more
+) -> SentRequest:
+    return SentRequest(
         **{
             "request_id": name,
-            "workspace": LARGE,
+            "workspace": LARGE_WORKSPACE,
             "key": "large-0",
             "path": path,
             "body": b"",
-            "vm": "127.0.0.1:1",
+            "vm_address": "127.0.0.1:1",
             "sent_at": sent_at,
             "ended_at": sent_at + 0.1,
             "status": status,
-            "answer": f"answer to {name}".encode(),
+            "response_body": f"answer to {name}".encode(),
             "is_signed": True,
             **more,
         }
     )
 
 
-def make_run(name="r-1", path="/read/1", at=10.0, **more) -> Run:
+def make_run(name="r-1", path="/read/1", started_at=10.0, **more) -> Run:
     return Run(
         **{
             "request_id": name,
-            "workspace": LARGE,
+            "workspace": LARGE_WORKSPACE,
             "path": path,
             "body": b"",
-            "at": at,
+            "started_at": started_at,
             "target": "target-0",
             "has_key": False,
-            "was_leaving_for_s": 0.0,
+            "draining_for_s": 0.0,
             **more,
         }
     )
 
 
-def found_at(vm: Vm, *disturbances: Disturbance) -> list[str]:
-    seen = [make_seen("last", sent_at=100.0)]
-    promises = Promises(World(SETTINGS), [vm], seen, list(disturbances))
-    return sorted(promises.check(90.0, 200.0).by_rule)
+def violations_at(vm: Vm, *disturbances: Disturbance) -> list[str]:
+    requests = [make_request("last", sent_at=100.0)]
+    checker = InvariantChecker(World(SETTINGS), [vm], requests, list(disturbances))
+    return sorted(checker.check(90.0, 200.0).by_rule)
 
 
-def held(*waits: Wait, vm="vm-0") -> tuple[list[str], list[str]]:
-    """Judge a request of 2.9 s; return what is found and what is excused."""
+def check_overdue(*waits: CpuWait, vm="vm-0") -> tuple[list[str], list[str]]:
+    """Check a request of 2.9 s; return the violated rules and the excused requests."""
     vms = [make_vm(), make_vm()]
     vms[1].name, vms[1].ports = "vm-1", [7, 2, 3, 4, 5, 6]
-    next(one for one in vms if one.name == vm).waits.found += waits
-    seen = [make_seen(status=504, ended_at=12.9), make_seen("last", sent_at=100.0)]
-    findings = Promises(World(SETTINGS), vms, seen, []).check(90.0, 200.0)
-    return sorted(findings.by_rule), findings.waited
+    next(other for other in vms if other.name == vm).waits.intervals += waits
+    requests = [
+        make_request(status=504, ended_at=12.9),
+        make_request("last", sent_at=100.0),
+    ]
+    findings = InvariantChecker(World(SETTINGS), vms, requests, []).check(90.0, 200.0)
+    return sorted(findings.by_rule), findings.excused_by_waits
 
 
-def rules(seen, runs, disturbances=(), **world) -> list[str]:
-    made = World(SETTINGS, runs=list(runs), **world)
-    # Served at the end, so that only the rule under test is found.
-    seen = [*seen, make_seen("last", sent_at=100.0)]
-    promises = Promises(made, [make_vm()], seen, list(disturbances))
-    return sorted(promises.check(90.0, 200.0).by_rule)
+def violated_rules(requests, runs, disturbances=(), **world_fields) -> list[str]:
+    world = World(SETTINGS, runs=list(runs), **world_fields)
+    # A request served at the end keeps RECOVER from being reported as well.
+    requests = [*requests, make_request("last", sent_at=100.0)]
+    checker = InvariantChecker(world, [make_vm()], requests, list(disturbances))
+    return sorted(checker.check(90.0, 200.0).by_rule)
 
 
 class TestDraw(unittest.TestCase):
     def test_same_seed_draws_the_same(self):
-        self.assertEqual(draw(SETTINGS), draw(SETTINGS))
-        self.assertNotEqual(draw(SETTINGS), draw(SoakSettings(6, 60.0)))
+        self.assertEqual(draw_faults(SETTINGS), draw_faults(SETTINGS))
+        self.assertNotEqual(draw_faults(SETTINGS), draw_faults(SoakSettings(6, 60.0)))
 
-    def test_each_kind_is_drawn_and_can_be_done(self):
-        drawn = {f.kind for seed in range(40) for f in draw(SoakSettings(seed, 60.0))}
-        self.assertEqual(drawn, set(KINDS))
-        for kind in KINDS:
-            self.assertTrue(callable(getattr(Faults, kind)))
+    def test_each_kind_is_drawn_and_implemented(self):
+        drawn = {
+            f.kind for seed in range(40) for f in draw_faults(SoakSettings(seed, 60.0))
+        }
+        self.assertEqual(drawn, set(FAULT_KINDS))
+        for kind in FAULT_KINDS:
+            self.assertTrue(callable(getattr(FaultInjector, kind)))
 
 
 class TestDrawSignals(unittest.TestCase):
-    def test_same_seed_draws_the_same_and_few(self):
+    def test_same_seed_draws_the_same_few_sequences(self):
         self.assertEqual(draw_signals(SETTINGS), draw_signals(SETTINGS))
         self.assertNotEqual(draw_signals(SETTINGS), draw_signals(SoakSettings(6, 60.0)))
-        self.assertEqual(len(draw_signals(SETTINGS)), MOST)
+        self.assertEqual(len(draw_signals(SETTINGS)), MAX_SEQUENCES)
         self.assertEqual(len(draw_signals(SoakSettings(5, 2.0))), 1)
 
-    def test_each_series_is_drawn(self):
+    def test_each_sequence_is_drawn(self):
         settings = [SoakSettings(seed, 12.0) for seed in range(40)]
         drawn = {fault.kind for one in settings for fault in draw_signals(one)}
-        self.assertEqual(drawn, set(SERIES))
+        self.assertEqual(drawn, set(SIGNAL_SEQUENCES))
 
-    def test_faults_of_a_seed_stay_what_they_were(self):
-        """Seeds are written down with what they found; they must find it again."""
-        kinds = [fault.kind for fault in draw(SoakSettings(54, 12.0))]
-        self.assertEqual(kinds, PINNED)
+    def test_faults_of_a_recorded_seed_stay_the_same(self):
+        """Recorded seeds must keep drawing the same faults to reproduce a failure."""
+        kinds = [fault.kind for fault in draw_faults(SoakSettings(54, 12.0))]
+        self.assertEqual(kinds, PINNED_FAULTS)
 
 
-# Told to stop, this program is busy for a while, in which any further signal does
-# what the system lets it do, as at the gateway once.
-DEAF = """
+# After SIGTERM this program takes 0.6 s to exit, with the default actions for further
+# signals restored. The gateway once had this fault.
+DEFAULT_SIGNALS_AFTER_STOP = """
 import signal, sys, time
 def stop(*_):
     signal.signal(signal.SIGHUP, signal.SIG_DFL)
@@ -146,13 +165,13 @@
 while True:
     time.sleep(1)
 """
-MENDED = DEAF.replace("SIG_DFL", "SIG_IGN")
-LAST_MOMENT = """for number in (signal.SIGHUP, signal.SIGTERM):
+IGNORES_SIGNALS_AFTER_STOP = DEFAULT_SIGNALS_AFTER_STOP.replace("SIG_DFL", "SIG_IGN")
+SIGNALS_DEFAULT_BEFORE_EXIT = """for number in (signal.SIGHUP, signal.SIGTERM):
         signal.signal(number, signal.SIG_DFL)
     time.sleep(0.1)"""
-NEVER_ENDS = MENDED.replace("sys.exit(0)", "time.sleep(60)")
-# Serves when it is first started, and never again.
-NEVER_READY = MENDED.replace(
+NEVER_EXITS = IGNORES_SIGNALS_AFTER_STOP.replace("sys.exit(0)", "time.sleep(60)")
+# Becomes ready on its first start only.
+NEVER_READY = IGNORES_SIGNALS_AFTER_STOP.replace(
     """print('{"message":"ready"}', flush=True)""",
     """while time.process_time() < 0.2:
     pass
@@ -163,20 +182,20 @@
 )
 
 
-async def done(program: str, *kinds: str) -> Vm:
-    """Run a program as a VM does, and do series of signals at it."""
-    async with running(program) as vm:
-        faults = Faults(World(SETTINGS), [vm])
+async def run_sequences(program: str, *kinds: str) -> Vm:
+    """Run a program as a VM and send signal sequences to it."""
+    async with running_vm(program) as vm:
+        injector = FaultInjector(World(SETTINGS), [vm])
         with trio.fail_after(20):
             while not vm.is_ready:
                 await trio.sleep(0.02)
-            await run_signals(faults, [Fault(kind, 0.0, 0.0, 1) for kind in kinds])
+            await run_signals(injector, [Fault(kind, 0.0, 0.0, 1) for kind in kinds])
     return vm
 
 
 @contextlib.asynccontextmanager
-async def running(program: str):
-    """Run a program as a VM does; it ends with the block."""
+async def running_vm(program: str):
+    """Run a program as a VM for the duration of a block."""
     with tempfile.TemporaryDirectory() as folder:
         settings, log = Path(folder) / "vm-0.ini", Path(folder) / "vm-0.log"
         settings.write_text("")
@@ -190,57 +209,60 @@
 
 
 class TestSignals(unittest.TestCase):
-    """A VM was told to stop, and hung up in its drain: it ended at once.
+    """A gateway exited at once when it received SIGHUP while draining after SIGTERM.
 
-    The soak sent both signals, to VMs drawn at random, which hardly ever met at
-    one; and once a VM was told to stop, no end of it was looked at any more.
+    The soak missed this: it sent both signals, but rarely to the same randomly drawn
+    VM, and it did not check how a VM exited after SIGTERM.
     """
 
     @on_real_clock
-    async def test_end_in_a_drain_by_a_further_signal(self):
-        with mock.patch("tests.platform.soak.signals.GAPS_S", (0.3,)):
-            vm = await done(DEAF, "stop_hup")
-            self.assertEqual(found_at(vm), ["EXIT"])
-            self.assertIn("status -1 after SIGTERM SIGHUP", vm.wrong_ends[0])
-            for kind in SERIES:
-                vm = await done(MENDED, kind)
-                self.assertEqual(found_at(vm), [], kind)
+    async def test_exit_by_second_signal_while_draining(self):
+        with mock.patch("tests.platform.soak.signals.MAX_GAPS_S", (0.3,)):
+            vm = await run_sequences(DEFAULT_SIGNALS_AFTER_STOP, "stop_hup")
+            self.assertEqual(violations_at(vm), ["EXIT"])
+            self.assertIn("status -1 after SIGTERM SIGHUP", vm.unexpected_exits[0])
+            for kind in SIGNAL_SEQUENCES:
+                vm = await run_sequences(IGNORES_SIGNALS_AFTER_STOP, kind)
+                self.assertEqual(violations_at(vm), [], kind)
 
     @on_real_clock
-    async def test_signals_until_a_process_is_gone(self):
-        """A process that has written its last line takes 10 ms and more to be gone.
+    async def test_signals_repeated_until_exit(self):
+        """Signals also arrive between the last log line and the exit of a process.
 
-        In these, a request to stop that was repeated ended it with status -15.
+        That takes 10 ms or more, and a repeated SIGTERM then ended the gateway with
+        status -15.
         """
-        last_moment = MENDED.replace("sys.exit(0)", LAST_MOMENT)
-        with mock.patch("tests.platform.soak.signals.GAPS_S", (0.3,)):
+        default_before_exit = IGNORES_SIGNALS_AFTER_STOP.replace(
+            "sys.exit(0)", SIGNALS_DEFAULT_BEFORE_EXIT
+        )
+        with mock.patch("tests.platform.soak.signals.MAX_GAPS_S", (0.3,)):
             for kind, status in (("stop_hups", -1), ("stop_agains", -15)):
-                for program in (DEAF, last_moment):
-                    vm = await done(program, kind)
-                    self.assertEqual(found_at(vm), ["EXIT"])
-                    self.assertIn(f"status {status} ", vm.wrong_ends[0])
+                for program in (DEFAULT_SIGNALS_AFTER_STOP, default_before_exit):
+                    vm = await run_sequences(program, kind)
+                    self.assertEqual(violations_at(vm), ["EXIT"])
+                    self.assertIn(f"status {status} ", vm.unexpected_exits[0])
 
     @on_real_clock
-    async def test_process_that_does_not_end_in_its_time(self):
+    async def test_process_that_does_not_exit_in_time(self):
         with mock.patch("tests.platform.soak.processes.KILL_AFTER_S", 0.5):
-            vm = await done(NEVER_ENDS, "stop_change")
-        self.assertEqual(found_at(vm), ["EXIT"])
-        self.assertEqual(vm.wrong_ends, [])
-        since, until = vm.late[0]
+            vm = await run_sequences(NEVER_EXITS, "stop_change")
+        self.assertEqual(violations_at(vm), ["EXIT"])
+        self.assertEqual(vm.unexpected_exits, [])
+        since, until = vm.late_exits[0]
         pause = Disturbance("vm_pause", "vm-0", since, until)
-        self.assertEqual(found_at(vm, pause), [])
+        self.assertEqual(violations_at(vm, pause), [])
         other = Disturbance("vm_pause", "vm-1", since, until)
-        self.assertEqual(found_at(vm, other), ["EXIT"])
+        self.assertEqual(violations_at(vm, other), ["EXIT"])
 
     @on_real_clock
-    async def test_process_that_is_not_ready_after_a_hangup_in_its_start(self):
-        with mock.patch("tests.platform.soak.signals.START_S", 1.0):
-            vm = await done(NEVER_READY, "restart_hup")
-        self.assertEqual(found_at(vm), ["START"])
+    async def test_process_that_is_not_ready_after_hangup_during_startup(self):
+        with mock.patch("tests.platform.soak.signals.START_TIMEOUT_S", 1.0):
+            vm = await run_sequences(NEVER_READY, "restart_hup")
+        self.assertEqual(violations_at(vm), ["START"])
 
-    def test_ends_that_are_right_and_wrong(self):
+    def test_expected_and_unexpected_exits(self):
         hangup, stop, kill = -signal.SIGHUP, -signal.SIGTERM, -signal.SIGKILL
-        for status, more, is_right in (
+        for status, more, is_expected in (
             (0, {"stopping_since": 1.0}, True),
             (1, {"stopping_since": 1.0}, False),
             (hangup, {"stopping_since": 1.0}, False),
@@ -259,14 +281,14 @@
             for name, value in more.items():
                 setattr(vm, name, value)
             with mock.patch("trio.current_time", return_value=3.0):
-                vm.note_end(status)
-            found = found_at(vm)
-            self.assertEqual(found, [] if is_right else ["EXIT"], (status, more))
+                vm.record_exit(status)
+            found = violations_at(vm)
+            self.assertEqual(found, [] if is_expected else ["EXIT"], (status, more))
 
 
 @frozen
 class StartingVm:
-    """Gets ready some seconds after its start, in part of which it waited."""
+    """A VM that becomes ready after a delay, part of which it waits for a CPU."""
 
     ready_s: float
     waits_s: float
@@ -283,234 +305,250 @@
 
 
 class TestStart(unittest.TestCase):
-    """A soak beside load (57 on 16 cores) ended with TimeoutError.
+    """A soak on an overloaded machine (load 57 on 16 cores) failed with TimeoutError.
 
-    A VM was not ready after 26.8 s; for over 15 s of these it had waited for a
-    processor, 8.9 s in one piece. It says nothing of the VM, and the soak
-    took its logs away with it.
+    A VM was not ready after 26.8 s, but had waited for a CPU for over 15 s of these,
+    8.9 s of them at a stretch. That is no fault of the VM, and the soak also deleted
+    the logs when it failed.
     """
 
     @on_mock_clock
-    async def test_time_without_a_processor_does_not_count(self):
-        await _until_ready([StartingVm(ready_s=20.0, waits_s=0.0)])
-        await _until_ready([StartingVm(ready_s=40.0, waits_s=20.0)])
+    async def test_timeout_excludes_cpu_waits(self):
+        await _wait_until_ready([StartingVm(ready_s=20.0, waits_s=0.0)])
+        await _wait_until_ready([StartingVm(ready_s=40.0, waits_s=20.0)])
 
     @on_mock_clock
-    async def test_vm_that_is_not_ready_though_it_could(self):
+    async def test_vm_not_ready_despite_cpu_time(self):
         with self.assertRaisesRegex(TimeoutError, "vm-0 .* waited 5.0 s"):
-            await _until_ready([StartingVm(ready_s=60.0, waits_s=5.0)])
+            await _wait_until_ready([StartingVm(ready_s=60.0, waits_s=5.0)])
         self.assertLess(trio.current_time(), 32.0)
 
-    def test_logs_are_kept(self):
+    def test_logs_are_saved_on_failure(self):
         broken = BaseExceptionGroup("", [TimeoutError("vm-0 was not ready")])
         with (
             mock.patch("trio.run", side_effect=broken),
-            mock.patch("tests.platform.soak.__main__._keep") as keep,
-            mock.patch("builtins.print") as said,
+            mock.patch("tests.platform.soak.__main__._save_logs") as save_logs,
+            mock.patch("builtins.print") as printed,
             self.assertRaises(SystemExit) as ended,
         ):
-            keep.return_value = "target/soak/seed-1"
+            save_logs.return_value = "target/soak/seed-1"
             soak(seed=1)
         self.assertEqual(ended.exception.code, ExitCode.FAILED)
-        self.assertIn("target/soak/seed-1", said.call_args.args[0])
+        self.assertIn("target/soak/seed-1", printed.call_args.args[0])
 
 
-def processes_of(pid: int) -> set[int]:
-    """Return the ids of processes that a process started and that have not ended."""
+def child_pids(pid: int) -> set[int]:
+    """Return the IDs of the running child processes of a process."""
     children = Path(f"/proc/{pid}/task").glob("*/children")
     return {int(child) for listed in children for child in listed.read_text().split()}
 
 
-def end(pids: set[int]) -> set[int]:
-    """Kill processes; return those that had not ended."""
+def kill_remaining(pids: set[int]) -> set[int]:
+    """Kill the processes that are still running and return their IDs."""
     left = {pid for pid in pids if Path(f"/proc/{pid}").exists()}
     for pid in left:
         os.kill(pid, signal.SIGKILL)
     return left
 
 
-class TestEndOfSoak(unittest.TestCase):
-    def ended_by(self, number: int) -> tuple[str, set[int]]:
-        """End a soak by a signal; return what it printed and what it left behind."""
+class TestTermination(unittest.TestCase):
+    def terminate_soak(self, number: int) -> tuple[str, set[int]]:
+        """Signal a soak to end; return its output and the VMs that it left running."""
         command = [sys.executable, "-m", "tests.platform.soak"]
         command += ["--vms=2", "--domains=2", "--duration=30"]
         with subprocess.Popen(command, stdout=subprocess.PIPE, text=True) as process:
             vms = set()
             while len(vms) < 2 and process.poll() is None:
                 time.sleep(0.02)
-                vms = processes_of(process.pid)
+                vms = child_pids(process.pid)
             process.send_signal(number)
             printed = process.stdout.read()
-        left = end(vms)
+        left = kill_remaining(vms)
         self.assertEqual(process.returncode, ExitCode.FAILED)
         return printed, left
 
-    def test_ends_its_vms_when_it_is_told_to_end(self):
-        """A soak that is ended leaves its VMs behind, which load the machine."""
+    def test_termination_stops_its_vms(self):
+        """A terminated soak left its VMs running, and they kept loading the machine."""
         for number in (signal.SIGTERM, signal.SIGINT):
             with self.subTest(number.name):
-                printed, left = self.ended_by(number)
+                printed, left = self.terminate_soak(number)
                 self.assertEqual(left, set())
-                self.assertIn(f"told to end by {number.name}", printed)
+                self.assertIn(f"terminated by {number.name}", printed)
 
 
 class TestOwnStalls(unittest.TestCase):
     @on_real_clock
-    async def test_stall_in_the_last_moment(self):
-        """The soak stood still for 9.5 s until its load was to end.
+    async def test_stall_at_the_end_of_the_load(self):
+        """A stall that lasts until the load ends must be recorded as well.
 
-        Requests that had been on their way took as long, at three VMs at once,
-        and were found HELD: whoever notes stalls was cancelled in that moment,
-        before it had looked at the clock.
+        A soak stalled for 9.5 s up to the end of its load. Pending requests at three
+        VMs took as long and were reported as HELD, since the task that records stalls
+        was cancelled before it checked the clock.
         """
-        faults = Faults(World(SETTINGS), [])
+        injector = FaultInjector(World(SETTINGS), [])
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(faults.watch_own_stalls)
+            nursery.start_soon(injector.watch_own_stalls)
             await trio.sleep(0.25)
             time.sleep(0.8)
             nursery.cancel_scope.cancel()
-        self.assertEqual([one.kind for one in faults.disturbances], ["stall"])
-        self.assertGreater(faults.stalls_s[0], 0.5)
+        self.assertEqual(
+            [disturbance.kind for disturbance in injector.disturbances], ["stall"]
+        )
+        self.assertGreater(injector.stalls_s[0], 0.5)
 
 
-class TestWaitsOfVms(unittest.TestCase):
+class TestCpuWaitsOfVms(unittest.TestCase):
     @on_real_clock
-    async def test_processes_are_read_while_they_run(self):
-        """The soak knows of its own stalls only, not of those of its VMs."""
-        async with running(MENDED) as vm:
+    async def test_running_processes_are_sampled(self):
+        """The soak measured its own stalls, but not those of its VMs."""
+        async with running_vm(IGNORES_SIGNALS_AFTER_STOP) as vm:
             with trio.fail_after(20):
                 while not vm.waits.ran_s:
                     await trio.sleep(0.02)
-        self.assertEqual(set(_on_processors([vm])), {"vm-0"})
+        self.assertEqual(set(_cpu_times([vm])), {"vm-0"})
 
     @on_mock_clock
     async def test_wait_that_outlasts_the_load(self):
-        """A VM's wait in the last moment is not known yet as requests are judged."""
+        """A VM's wait at the end of the load was not yet counted during the checks."""
         vm = make_vm()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.run_after_2_s, vm)
-            await _until_run_again([vm], since=0.5)
+            await _wait_until_scheduled([vm], since=0.5)
         self.assertEqual(vm.waits.longer_than(0.5), [1.9])
 
     async def run_after_2_s(self, vm):
-        vm.waits.note(Reading(0.1, 0.1, 0.5, 0.0))
+        vm.waits.add_sample(SchedstatSample(0.1, 0.1, 0.5, 0.0))
         await trio.sleep(2.0)
-        vm.waits.note(Reading(1.95, 2.0, 0.51, 1.9))
+        vm.waits.add_sample(SchedstatSample(1.95, 2.0, 0.51, 1.9))
         await trio.sleep(0.05)
-        vm.waits.note(Reading(2.05, 2.05, 0.52, 1.9))
+        vm.waits.add_sample(SchedstatSample(2.05, 2.05, 0.52, 1.9))
 
     @on_mock_clock
     async def test_vm_that_does_not_run_again(self):
-        """A soak never ends, as one of its VMs does not run any more."""
-        await _until_run_again([make_vm()], since=0.5)
+        """A soak must end even if one of its VMs never runs again."""
+        await _wait_until_scheduled([make_vm()], since=0.5)
         self.assertLessEqual(trio.current_time(), 5.0)
 
 
-class TestPromises(unittest.TestCase):
-    def test_nothing_is_found_where_all_is_well(self):
-        self.assertEqual(rules([make_seen()], [make_run()]), [])
+class TestInvariantChecker(unittest.TestCase):
+    def test_no_violations(self):
+        self.assertEqual(violated_rules([make_request()], [make_run()]), [])
 
     def test_booking_that_ran_twice(self):
-        seen = make_seen(path="/book/1", body=b"seat")
+        request = make_request(path="/book/1", body=b"seat")
         run = make_run(path="/book/1", body=b"seat")
-        self.assertEqual(rules([seen], [run, run]), ["TWICE"])
-        self.assertEqual(rules([make_seen()], [make_run(), make_run()]), [])
+        self.assertEqual(violated_rules([request], [run, run]), ["TWICE"])
+        self.assertEqual(violated_rules([make_request()], [make_run(), make_run()]), [])
 
-    def test_refusal_of_what_ran(self):
+    def test_booking_that_ran_but_was_refused(self):
         for status in (408, 421, 429, 503):
-            seen = make_seen(path="/book/1", status=status)
-            self.assertEqual(rules([seen], [make_run(path="/book/1")]), ["REFUSED"])
-        seen = make_seen(path="/book/1", status=502)
-        self.assertEqual(rules([seen], [make_run(path="/book/1")]), [])
-
-    def test_answer_to_another_request(self):
-        self.assertEqual(rules([make_seen(answer=b"x")], [make_run()]), ["MIXED"])
-        self.assertEqual(rules([make_seen(is_signed=False)], [make_run()]), ["MIXED"])
-
-    def test_run_that_nobody_sent_or_that_saw_a_key(self):
-        self.assertEqual(rules([], [make_run("r-9")]), ["UNASKED"])
-        self.assertEqual(rules([make_seen()], [make_run(has_key=True)]), ["UNASKED"])
-        other = make_run(workspace=SMALL)
-        self.assertEqual(rules([make_seen()], [other]), ["UNASKED"])
-
-    def test_more_than_a_quota_in_a_window(self):
+            request = make_request(path="/book/1", status=status)
+            self.assertEqual(
+                violated_rules([request], [make_run(path="/book/1")]), ["REFUSED"]
+            )
+        request = make_request(path="/book/1", status=502)
+        self.assertEqual(violated_rules([request], [make_run(path="/book/1")]), [])
+
+    def test_response_of_another_request(self):
+        self.assertEqual(
+            violated_rules([make_request(response_body=b"x")], [make_run()]), ["MIXED"]
+        )
+        self.assertEqual(
+            violated_rules([make_request(is_signed=False)], [make_run()]), ["MIXED"]
+        )
+
+    def test_run_without_request_or_with_key(self):
+        self.assertEqual(violated_rules([], [make_run("r-9")]), ["UNASKED"])
+        self.assertEqual(
+            violated_rules([make_request()], [make_run(has_key=True)]), ["UNASKED"]
+        )
+        other = make_run(workspace=SMALL_WORKSPACE)
+        self.assertEqual(violated_rules([make_request()], [other]), ["UNASKED"])
+
+    def test_quota_exceeded_in_a_window(self):
         names = [f"r-{n}" for n in range(70)]
-        seen = [make_seen(name, workspace=SMALL) for name in names]
-        runs = [make_run(name, workspace=SMALL) for name in names]
-        self.assertEqual(rules(seen, runs), ["QUOTA"])
-        self.assertEqual(rules(seen[:50], runs[:50]), [])
-
-    def test_work_for_a_target_that_left(self):
-        late = make_run(was_leaving_for_s=3.5)
-        self.assertEqual(rules([make_seen()], [late]), ["DRAIN"])
+        requests = [make_request(name, workspace=SMALL_WORKSPACE) for name in names]
+        runs = [make_run(name, workspace=SMALL_WORKSPACE) for name in names]
+        self.assertEqual(violated_rules(requests, runs), ["QUOTA"])
+        self.assertEqual(violated_rules(requests[:50], runs[:50]), [])
+
+    def test_run_at_a_drained_target(self):
+        late = make_run(draining_for_s=3.5)
+        self.assertEqual(violated_rules([make_request()], [late]), ["DRAIN"])
         cut = Disturbance("vm_pause", "vm-0", 8.0, 9.0)
-        self.assertEqual(rules([make_seen()], [late], [cut]), [])
+        self.assertEqual(violated_rules([make_request()], [late], [cut]), [])
 
-    def test_withdrawn_key_and_dropped_route(self):
+    def test_withdrawn_key_and_removed_route(self):
         revoked = {"large-0": 3.0}
-        found = rules([make_seen()], [make_run()], revoked_at=revoked)
+        found = violated_rules([make_request()], [make_run()], revoked_at=revoked)
         self.assertEqual(found, ["REVOKE"])
-        seen = make_seen(path="/extra-0/1")
+        request = make_request(path="/extra-0/1")
         run = make_run(path="/extra-0/1")
-        found = rules([seen], [run], dropped_at={"/extra-0/": 6.0})
+        found = violated_rules([request], [run], removed_at={"/extra-0/": 6.0})
         self.assertEqual(found, ["CONFIG"])
 
     def test_request_held_past_its_timeout(self):
-        held = make_seen(status=504, ended_at=13.0)
-        self.assertEqual(rules([held], []), ["HELD"])
-        stall = Disturbance("stall", ALL, 10.5, 12.0)
-        self.assertEqual(rules([held], [], [stall]), [])
-
-    def test_request_at_a_vm_that_waited_for_a_processor(self):
-        """A request is found HELD though its VM was kept from running meanwhile."""
-        found, excused = held(Wait(10.0, 12.9, 2.86))
+        overdue = make_request(status=504, ended_at=13.0)
+        self.assertEqual(violated_rules([overdue], []), ["HELD"])
+        stall = Disturbance("stall", SCOPE_ALL, 10.5, 12.0)
+        self.assertEqual(violated_rules([overdue], [], [stall]), [])
+
+    def test_slow_request_excused_by_cpu_waits(self):
+        """A request was reported as HELD although its VM was waiting for a CPU."""
+        found, excused = check_overdue(CpuWait(10.0, 12.9, 2.86))
         self.assertEqual(found, [])
-        self.assertIn("2.90 s, 2.86 s of it without a processor", excused[0])
-        pieces = [Wait(10.0 + n, 10.9 + n, 0.2) for n in range(2)]
-        self.assertEqual(held(*pieces)[0], [])
+        self.assertIn("2.90 s, 2.86 s of it waiting for a CPU", excused[0])
+        short_waits = [CpuWait(10.0 + n, 10.9 + n, 0.2) for n in range(2)]
+        self.assertEqual(check_overdue(*short_waits)[0], [])
 
-    def test_request_that_its_vm_held_beside_waits(self):
-        """A slow VM is taken for one that was kept from running."""
+    def test_slow_request_not_excused_by_cpu_waits(self):
+        """A slow VM must not be excused by waits that do not explain its delay."""
         for waits in (
             [],
-            [Wait(10.0, 12.9, 0.15)],
-            [Wait(5.0, 10.0, 5.0)],
-            [Wait(12.9, 15.0, 2.1)],
-            [Wait(6.0, 12.0, 4.0)],
+            [CpuWait(10.0, 12.9, 0.15)],
+            [CpuWait(5.0, 10.0, 5.0)],
+            [CpuWait(12.9, 15.0, 2.1)],
+            [CpuWait(6.0, 12.0, 4.0)],
         ):
-            self.assertEqual(held(*waits), (["HELD"], []), waits)
-        other = held(Wait(10.0, 12.9, 2.86), vm="vm-1")
+            self.assertEqual(check_overdue(*waits), (["HELD"], []), waits)
+        other = check_overdue(CpuWait(10.0, 12.9, 2.86), vm="vm-1")
         self.assertEqual(other, (["HELD"], []))
 
-    def test_request_cut_by_a_planned_stop_alone(self):
-        cut = make_seen(status=0)
+    def test_request_cut_by_graceful_stop_only(self):
+        cut = make_request(status=0)
         stop = Disturbance("vm_stop", "vm-0", 9.0, 13.0)
-        self.assertEqual(rules([cut], [make_run()], [stop]), ["LOST"])
+        self.assertEqual(violated_rules([cut], [make_run()], [stop]), ["LOST"])
         reset = Disturbance("target_resets", "target-0", 9.5, 10.5)
-        self.assertEqual(rules([cut], [make_run()], [stop, reset]), [])
-
-    def test_request_cut_by_signals_that_meet(self):
-        cut = make_seen(status=0)
-        for kind in SERIES:
-            series = Disturbance(kind, "vm-0", 9.0, 13.0)
-            self.assertEqual(rules([cut], [make_run()], [series]), ["LOST"], kind)
+        self.assertEqual(violated_rules([cut], [make_run()], [stop, reset]), [])
+
+    def test_request_cut_by_overlapping_signals(self):
+        cut = make_request(status=0)
+        for kind in SIGNAL_SEQUENCES:
+            signals = Disturbance(kind, "vm-0", 9.0, 13.0)
+            self.assertEqual(
+                violated_rules([cut], [make_run()], [signals]), ["LOST"], kind
+            )
             kill = Disturbance("vm_kill", "vm-0", 9.5, 10.5)
-            self.assertEqual(rules([cut], [make_run()], [series, kill]), [], kind)
+            self.assertEqual(
+                violated_rules([cut], [make_run()], [signals, kill]), [], kind
+            )
             far = Disturbance(kind, "vm-1", 9.0, 13.0)
-            self.assertEqual(rules([cut], [make_run()], [far]), [], kind)
+            self.assertEqual(violated_rules([cut], [make_run()], [far]), [], kind)
 
-    def test_hangups_alone_disturb_no_promise(self):
-        held = make_seen(status=504, ended_at=13.0)
+    def test_hangups_alone_excuse_nothing(self):
+        overdue = make_request(status=504, ended_at=13.0)
         hangups = Disturbance("hup_hup", "vm-0", 9.0, 13.0)
-        self.assertEqual(rules([held], [], [hangups]), ["HELD"])
+        self.assertEqual(violated_rules([overdue], [], [hangups]), ["HELD"])
 
-    def test_callers_that_are_not_served_at_the_end(self):
-        seen = [make_seen(f"r-{n}", status=503, sent_at=95.0) for n in range(5)]
-        self.assertEqual(rules(seen, []), ["RECOVER"])
+    def test_callers_not_served_after_recovery(self):
+        requests = [make_request(f"r-{n}", status=503, sent_at=95.0) for n in range(5)]
+        self.assertEqual(violated_rules(requests, []), ["RECOVER"])
 
     def test_valid_key_or_route_refused(self):
-        self.assertEqual(rules([make_seen(status=404)], []), ["DENIED"])
-        refused = make_seen(status=401)
-        self.assertEqual(rules([refused], []), ["DENIED"])
-        self.assertEqual(rules([refused], [], issued_at={"large-0": 7.5}), ["DENIED"])
-        self.assertEqual(rules([refused], [], issued_at={"large-0": 8.5}), [])
+        self.assertEqual(violated_rules([make_request(status=404)], []), ["DENIED"])
+        refused = make_request(status=401)
+        self.assertEqual(violated_rules([refused], []), ["DENIED"])
+        self.assertEqual(
+            violated_rules([refused], [], issued_at={"large-0": 7.5}), ["DENIED"]
+        )
+        self.assertEqual(violated_rules([refused], [], issued_at={"large-0": 8.5}), [])
