--- a/packages/entry/plantainshed_entry/admission.py
+++ b/packages/entry/plantainshed_entry/admission.py
@@ -10,7 +10,7 @@
 from plantainshed_model.document import Workspace
 
 from .errors import Refusal
-from .in_force import WORKSPACE_PREFIX, InForce
+from .in_force import WORKSPACE_PREFIX, IndexedDocument
 from .metrics import Metrics
 from .reasons import Reason
 
@@ -48,7 +48,7 @@
 
     Attributes
     ----------
-    in_force : InForce
+    in_force : IndexedDocument
     outside_heard_at : float
         When this failure domain last had any path to the rest.
     """
@@ -57,7 +57,7 @@
         self.rumors = rumors
         self.limiter = limiter
         self.metrics = metrics
-        self.in_force: InForce | None = None
+        self.in_force: IndexedDocument | None = None
         self.outside_heard_at = trio.current_time()
 
     def identify(self, head: RequestHead) -> Admitted:
--- a/packages/entry/plantainshed_entry/in_force.py
+++ b/packages/entry/plantainshed_entry/in_force.py
@@ -20,7 +20,7 @@
 
 
 @frozen
-class InForce:
+class IndexedDocument:
     """A version of the document, with indexes.
 
     Parameters
@@ -50,15 +50,15 @@
         return self.region_by_domain.get(failure_domain, "")
 
 
-def nothing_in_force() -> InForce:
+def nothing_in_force() -> IndexedDocument:
     """Return the state before any document was received."""
     document = Document()
-    return InForce(EMPTY_REVISION, document, BlockTable(()), KeyRing(document))
+    return IndexedDocument(EMPTY_REVISION, document, BlockTable(()), KeyRing(document))
 
 
 def put_in_force(
-    revision: Revision, segments: dict[str, bytes], before: InForce
-) -> InForce:
+    revision: Revision, segments: dict[str, bytes], before: IndexedDocument
+) -> IndexedDocument:
     """Read and check a version; raise `DocumentError` if it is not valid.
 
     The table of blocks is kept when no segment of it changed: building it
@@ -71,7 +71,7 @@
     blocks = before.blocks
     if _block_digests(revision) != _block_digests(before.revision):
         blocks = BlockTable(read_blocks(segments))
-    return InForce(
+    return IndexedDocument(
         revision,
         document,
         blocks,
--- a/packages/entry/plantainshed_entry/lookup.py
+++ b/packages/entry/plantainshed_entry/lookup.py
@@ -13,7 +13,7 @@
 from plantainshed_coordination.operations import operation_prefix
 
 from .errors import Refusal
-from .in_force import InForce
+from .in_force import IndexedDocument
 from .reasons import Reason
 from .steering import Steering
 
@@ -84,13 +84,13 @@
 
     Attributes
     ----------
-    in_force : InForce
+    in_force : IndexedDocument
     """
 
     def __init__(self, membership: Membership, steering: Steering):
         self.membership = membership
         self.steering = steering
-        self.in_force: InForce | None = None
+        self.in_force: IndexedDocument | None = None
         self._cached: dict[tuple[str, str, int], LookupAnswer] = {}
 
     def answer(self, client: str, pool: str) -> LookupAnswer:
--- a/packages/entry/plantainshed_entry/routing.py
+++ b/packages/entry/plantainshed_entry/routing.py
@@ -19,7 +19,7 @@
 
 from .call import Call
 from .errors import Refusal
-from .in_force import SHIFT_PREFIX, SLOTS_PREFIX, InForce
+from .in_force import SHIFT_PREFIX, SLOTS_PREFIX, IndexedDocument
 from .reasons import Reason
 from .slot_queue import SlotQueue
 from .targets import TargetState, TargetTable
@@ -54,7 +54,7 @@
 
     Attributes
     ----------
-    in_force : InForce
+    in_force : IndexedDocument
     queues : dict of str to SlotQueue
         By pool.
     """
@@ -63,7 +63,7 @@
         self.membership = membership
         self.lending = lending
         self.targets = targets
-        self.in_force: InForce | None = None
+        self.in_force: IndexedDocument | None = None
         self.queues: dict[str, SlotQueue] = {}
         self._asked = itertools.count()
         self._full_until: dict[tuple[str, str], float] = {}
--- a/packages/entry/plantainshed_entry/serving.py
+++ b/packages/entry/plantainshed_entry/serving.py
@@ -27,7 +27,7 @@
 from .context import Context
 from .errors import Refusal
 from .facts import Facts
-from .in_force import InForce
+from .in_force import IndexedDocument
 from .loads import LoadBoard
 from .lookup import Lookup
 from .poison import fingerprint
@@ -53,7 +53,7 @@
 
     Attributes
     ----------
-    in_force : InForce
+    in_force : IndexedDocument
     calls : dict of str to Call
         Requests that are running or waiting here, by request id.
     """
@@ -78,7 +78,7 @@
         self.loads = loads
         self.lookup = lookup
         self.facts = facts
-        self.in_force: InForce | None = None
+        self.in_force: IndexedDocument | None = None
         self.calls: dict[str, Call] = {}
 
     @property
--- a/packages/entry/plantainshed_entry/steering.py
+++ b/packages/entry/plantainshed_entry/steering.py
@@ -7,7 +7,7 @@
 from plantainshed_coordination.membership import Membership
 from plantainshed_model.document import DrainKind, Pool, ShiftState
 
-from .in_force import InForce
+from .in_force import IndexedDocument
 from .loads import DomainLoad, LoadBoard
 from .plan import Place, PlannedShift, Shares, approach, plan_pool
 from .targets import TargetTable
@@ -22,7 +22,7 @@
 
     Attributes
     ----------
-    in_force : InForce
+    in_force : IndexedDocument
     shares : dict of str to Shares
         The plan, by pool.
     """
@@ -31,7 +31,7 @@
         self.membership = membership
         self.targets = targets
         self.loads = loads
-        self.in_force: InForce | None = None
+        self.in_force: IndexedDocument | None = None
         self.shares: dict[str, Shares] = {}
 
     async def run(self):
--- a/packages/entry/plantainshed_entry/targets.py
+++ b/packages/entry/plantainshed_entry/targets.py
@@ -14,7 +14,7 @@
 from plantainshed_coordination.holdings import Holdings
 from plantainshed_model.document import Drain, DrainKind, Pool, Target
 
-from .in_force import SLOTS_PREFIX, InForce
+from .in_force import SLOTS_PREFIX, IndexedDocument
 
 FAILURES_TO_EJECT = 3
 EJECT_S = 5.0
@@ -204,7 +204,7 @@
         self._by_pool: dict[str, list[TargetState]] = {}
         self._is_first = True
 
-    def take_document(self, in_force: InForce):
+    def take_document(self, in_force: IndexedDocument):
         """Take over the targets of a document that came into force."""
         document = in_force.document
         states = {}
