--- a/packages/entry/plantainshed_entry/in_force.py
+++ b/packages/entry/plantainshed_entry/in_force.py
@@ -56,7 +56,7 @@
     return IndexedDocument(EMPTY_REVISION, document, BlockTable(()), KeyRing(document))
 
 
-def put_in_force(
+def index_document(
     revision: Revision, segments: dict[str, bytes], before: IndexedDocument
 ) -> IndexedDocument:
     """Read and check a version; raise `DocumentError` if it is not valid.
--- a/packages/entry/plantainshed_entry/node.py
+++ b/packages/entry/plantainshed_entry/node.py
@@ -29,7 +29,7 @@
 from .context import Context
 from .domain_news import DomainNews
 from .facts import Facts
-from .in_force import budget_specs, nothing_in_force, put_in_force
+from .in_force import budget_specs, index_document, nothing_in_force
 from .loads import DomainLoad, LoadBoard
 from .lookup import TTL_S, Lookup
 from .poison import PoisonBook
@@ -197,7 +197,7 @@
     # The document.
 
     def _put_in_force(self, revision: Revision, segments: dict[str, bytes]):
-        self.in_force = put_in_force(revision, segments, self.in_force)
+        self.in_force = index_document(revision, segments, self.in_force)
         self._share_in_force()
         self.log.info(
             "document in force",
--- a/packages/measure/plantainshed_measure/bench.py
+++ b/packages/measure/plantainshed_measure/bench.py
@@ -12,7 +12,7 @@
 import trio
 
 from plantainshed_coordination.versioned import Revision
-from plantainshed_entry.in_force import nothing_in_force, put_in_force
+from plantainshed_entry.in_force import index_document, nothing_in_force
 from plantainshed_entry.lookup import Lookup
 from plantainshed_http.client import ClientConnection
 from plantainshed_model.codec import to_segments
@@ -74,7 +74,7 @@
 def bench_lookup() -> dict:
     """Time look-up decisions with all blocks loaded, and the memory they take."""
     segments = to_segments(large_document())
-    in_force = put_in_force(
+    in_force = index_document(
         Revision(1, "c", "", {n: n for n in segments}, "", "", ""),
         segments,
         nothing_in_force(),
