--- a/packages/entry/plantainshed_entry/in_force.py
+++ b/packages/entry/plantainshed_entry/in_force.py
@@ -50,7 +50,7 @@
         return self.region_by_domain.get(failure_domain, "")
 
 
-def nothing_in_force() -> IndexedDocument:
+def empty_indexed_document() -> IndexedDocument:
     """Return the state before any document was received."""
     document = Document()
     return IndexedDocument(EMPTY_REVISION, document, BlockTable(()), KeyRing(document))
--- a/packages/entry/plantainshed_entry/node.py
+++ b/packages/entry/plantainshed_entry/node.py
@@ -29,7 +29,7 @@
 from .context import Context
 from .domain_news import DomainNews
 from .facts import Facts
-from .in_force import budget_specs, index_document, nothing_in_force
+from .in_force import budget_specs, empty_indexed_document, index_document
 from .loads import DomainLoad, LoadBoard
 from .lookup import TTL_S, Lookup
 from .poison import PoisonBook
@@ -70,7 +70,7 @@
         settings = context.settings
         self.context = context
         self.log = context.log
-        self.in_force = nothing_in_force()
+        self.in_force = empty_indexed_document()
         self.network = PeerNetwork(context.identity, context.transport)
         self.membership = Membership(
             context.identity,
--- a/packages/measure/plantainshed_measure/bench.py
+++ b/packages/measure/plantainshed_measure/bench.py
@@ -12,7 +12,7 @@
 import trio
 
 from plantainshed_coordination.versioned import Revision
-from plantainshed_entry.in_force import index_document, nothing_in_force
+from plantainshed_entry.in_force import empty_indexed_document, index_document
 from plantainshed_entry.lookup import Lookup
 from plantainshed_http.client import ClientConnection
 from plantainshed_model.codec import to_segments
@@ -77,7 +77,7 @@
     in_force = index_document(
         Revision(1, "c", "", {n: n for n in segments}, "", "", ""),
         segments,
-        nothing_in_force(),
+        empty_indexed_document(),
     )
     lookup = Lookup(OneDomain(), OneDomain())
     lookup.in_force = in_force
--- a/packages/measure/plantainshed_measure/memory.py
+++ b/packages/measure/plantainshed_measure/memory.py
@@ -44,7 +44,7 @@
 def main():
     """Load the segments of a folder and print what they take."""
     import plantainshed_entry.daemon  # noqa: F401
-    from plantainshed_entry.in_force import index_document, nothing_in_force
+    from plantainshed_entry.in_force import empty_indexed_document, index_document
 
     gc.collect()
     imported_mb = resident_mb()
@@ -52,7 +52,7 @@
     segments = {path.name: path.read_bytes() for path in paths}
     digests = {name: content_digest(text) for name, text in segments.items()}
     revision = Revision(1, "c", "", digests, "", "", "")
-    in_force = index_document(revision, segments, nothing_in_force())
+    in_force = index_document(revision, segments, empty_indexed_document())
     gc.collect()
     figures = {
         "imported_mb": imported_mb,
--- a/packages/measure/plantainshed_measure/slopes.py
+++ b/packages/measure/plantainshed_measure/slopes.py
@@ -22,7 +22,7 @@
 from plantainshed_coordination.peer_pb2 import Envelope, MemberRecord
 from plantainshed_coordination.rate_part import RatePart
 from plantainshed_coordination.versioned import Revision
-from plantainshed_entry.in_force import index_document, nothing_in_force
+from plantainshed_entry.in_force import empty_indexed_document, index_document
 from plantainshed_entry.targets import TargetState
 from plantainshed_model.blocks import BlockTable
 from plantainshed_model.codec import to_segments
@@ -193,7 +193,7 @@
     )
     segments = to_segments(document)
     revision = Revision(1, "c", "", {}, "", "", "")
-    return lambda: index_document(revision, segments, nothing_in_force())
+    return lambda: index_document(revision, segments, empty_indexed_document())
 
 
 def _rebuild(count: int):
