--- a/packages/entry/plantainshed_entry/lookup.py
+++ b/packages/entry/plantainshed_entry/lookup.py
@@ -95,7 +95,7 @@
 
     def answer(self, client: str, pool: str) -> LookupAnswer:
         """Return the VMs for a client, or raise `Refusal`."""
-        home, bucket = self.home_of(client)
+        home, bucket = self.locate_client(client)
         key = (pool, home, bucket)
         cached = self._cached.get(key)
         if cached is None:
@@ -127,7 +127,7 @@
             tuple(entries[:MOST_ENTRIES]), TTL_S, self.in_force.revision.version
         )
 
-    def home_of(self, client: str) -> tuple[str, int]:
+    def locate_client(self, client: str) -> tuple[str, int]:
         """Return the failure domain near a client, and the bucket of its block.
 
         A client in no block is taken to be near this VM.
--- a/packages/entry/plantainshed_entry/serving.py
+++ b/packages/entry/plantainshed_entry/serving.py
@@ -120,7 +120,7 @@
             workspace=admitted.workspace.name,
             key_id=admitted.key_id,
             pool=pool,
-            home_domain=self.lookup.home_of(exchange.caller)[0],
+            home_domain=self.lookup.locate_client(exchange.caller)[0],
             deadline=trio.current_time() + _timeout_s(head, pool),
             operation=_operation_of(head),
             exchange=exchange,
--- a/packages/measure/plantainshed_measure/callers.py
+++ b/packages/measure/plantainshed_measure/callers.py
@@ -146,7 +146,7 @@
         return None
 
     def _is_cut_off(self, client: str, domain: str) -> bool:
-        home = next(iter(self.rig.vms.values())).node.lookup.home_of(client)[0]
+        home = next(iter(self.rig.vms.values())).node.lookup.locate_client(client)[0]
         return self.rig.is_cut(home, domain)
 
     def _delay(self, home: str, domain: str) -> float:
