--- a/packages/entry/plantainshed_entry/attempts.py
+++ b/packages/entry/plantainshed_entry/attempts.py
@@ -111,7 +111,7 @@
         call.may_have_run |= failure.outcome is Outcome.UNKNOWN
         if failure.crashed:
             self.poison.note_crash(call.fingerprint, state.target.name, alone=marked)
-        if failure.blames_target:
+        if failure.is_target_fault:
             self.targets.note_failure(state.target.name)
             if failure.outcome is Outcome.NOT_RUN:
                 self.targets.note_refused(state.target.name)
@@ -129,7 +129,7 @@
         if failure.outcome is Outcome.NOT_RUN:
             reason = (
                 RetryReason.CONNECT_FAILED
-                if failure.blames_target
+                if failure.is_target_fault
                 else RetryReason.SHED
             )
         elif call.is_idempotent:
@@ -141,5 +141,5 @@
 
 
 def _refusal_for(failure: AttemptFailed) -> Refusal:
-    reason = Reason.TARGET_FAILED if failure.blames_target else Reason.NO_ROOM
+    reason = Reason.TARGET_FAILED if failure.is_target_fault else Reason.NO_ROOM
     return Refusal(reason, str(failure), failure.outcome, FAILED_RETRY_AFTER_S)
--- a/packages/entry/plantainshed_entry/errors.py
+++ b/packages/entry/plantainshed_entry/errors.py
@@ -51,14 +51,14 @@
     message : str
     outcome : Outcome
         Whether the target can have run it.
-    blames_target : bool
+    is_target_fault : bool
         Whether it says something about the target's health.
     crashed : bool
         Whether the target went away while it ran the request.
     """
 
-    def __init__(self, message, outcome, blames_target=True, crashed=False):
+    def __init__(self, message, outcome, is_target_fault=True, crashed=False):
         super().__init__(message)
         self.outcome = Outcome(outcome)
-        self.blames_target = blames_target
+        self.is_target_fault = is_target_fault
         self.crashed = crashed
--- a/packages/entry/plantainshed_entry/relay.py
+++ b/packages/entry/plantainshed_entry/relay.py
@@ -167,7 +167,7 @@
             raise AttemptFailed(
                 f"target {state.target.name} has no room",
                 Outcome.NOT_RUN,
-                blames_target=False,
+                is_target_fault=False,
             )
         exchange = call.exchange
         await exchange.start(head.status, _headers_for_caller(call, head.headers))
--- a/packages/measure/plantainshed_measure/memory_targets.py
+++ b/packages/measure/plantainshed_measure/memory_targets.py
@@ -45,7 +45,7 @@
             raise AttemptFailed(f"{self.name} is down", Outcome.NOT_RUN)
         if self.running >= self.slots:
             self.shed += 1
-            raise AttemptFailed("shed", Outcome.NOT_RUN, blames_target=False)
+            raise AttemptFailed("shed", Outcome.NOT_RUN, is_target_fault=False)
         self.runs[str(call.operation or call.request_id)] += 1
         self.started.append((trio.current_time(), call))
         self.running += 1
