--- a/packages/entry/plantainshed_entry/serving.py
+++ b/packages/entry/plantainshed_entry/serving.py
@@ -121,7 +121,7 @@
             key_id=admitted.key_id,
             pool=pool,
             home_domain=self.lookup.locate_client(exchange.caller)[0],
-            deadline=trio.current_time() + _timeout_s(head, pool),
+            deadline=trio.current_time() + _parse_timeout_s(head, pool),
             operation=_operation_of(head),
             exchange=exchange,
         )
@@ -263,7 +263,7 @@
         del self.calls[self.call.request_id]
 
 
-def _timeout_s(head: RequestHead, pool: Pool) -> float:
+def _parse_timeout_s(head: RequestHead, pool: Pool) -> float:
     text = head.header(DEADLINE_HEADER)
     if text is None:
         return pool.timeout_s
--- a/tests/entry/test_timeout_header.py
+++ b/tests/entry/test_timeout_header.py
@@ -4,7 +4,7 @@
 
 from plantainshed_entry.errors import Refusal
 from plantainshed_entry.reasons import STATUS
-from plantainshed_entry.serving import MAX_TIMEOUT_MS, _timeout_s
+from plantainshed_entry.serving import MAX_TIMEOUT_MS, _parse_timeout_s
 from plantainshed_http.messages import RequestHead
 from plantainshed_model.document import Pool
 
@@ -18,7 +18,7 @@
 
 def timeout_s(text: str) -> float:
     headers = [(b"request-timeout-ms", text.encode("latin-1"))]
-    return _timeout_s(RequestHead("GET", "/prenota/1", headers), POOL)
+    return _parse_timeout_s(RequestHead("GET", "/prenota/1", headers), POOL)
 
 
 class TestTimeoutHeader(unittest.TestCase):
