--- a/packages/entry/plantainshed_entry/commands.py
+++ b/packages/entry/plantainshed_entry/commands.py
@@ -27,7 +27,7 @@
     def __init__(self, node: Node, credential: bytes):
         self.node = node
         self.credential = credential
-        self.by_name = {
+        self.handlers = {
             WITHDRAW_KEY: self._withdraw_key,
             STATUS: self._status,
             FACTS: self._facts,
@@ -37,9 +37,9 @@
         """Carry out one command."""
         if not hmac.compare_digest(request.credential.encode(), self.credential):
             return ControlReply(message="the credential is not this fleet's")
-        command = self.by_name.get(request.command)
+        command = self.handlers.get(request.command)
         if command is None:
-            known = ", ".join(self.by_name)
+            known = ", ".join(self.handlers)
             return ControlReply(
                 message=f"command: {request.command!r} is not one of {known}"
             )
@@ -51,7 +51,7 @@
         return {"key_id": arguments["key_id"]}
 
     def _facts(self, arguments: dict) -> dict:
-        return self.node.facts.as_fields()
+        return self.node.statistics.as_fields()
 
     def _status(self, arguments: dict) -> dict:
         return fleet_status(self.node)
--- a/packages/entry/plantainshed_entry/daemon.py
+++ b/packages/entry/plantainshed_entry/daemon.py
@@ -46,35 +46,37 @@
         node = Node(context, relay.run, probe_over_http)
         relay.vm_count = lambda: len(node.membership.records())
         commands = Commands(node, settings.fleet_secret)
-        stopping, closed = Stopping(), trio.Event()
+        stopping, drained = Stopping(), trio.Event()
         listeners = await _listen(settings.listen)
         async with (
             serve_control(settings.control, node.follower.value, commands.handle),
             trio.open_nursery() as nursery,
         ):
             nursery.start_soon(node.run)
-            nursery.start_soon(_serve, node, listeners, stopping, closed)
+            nursery.start_soon(_serve, node, listeners, stopping, drained)
             nursery.start_soon(_stop_when_superseded, node, stop)
             ready.set()
             await stop.wait()
-            await node.leave(partial(_close, stopping, closed), LEAVE_TIMEOUT_S)
+            await node.leave(
+                partial(_drain_exchanges, stopping, drained), LEAVE_TIMEOUT_S
+            )
             nursery.cancel_scope.cancel()
         context.log.info("stopped")
 
 
-async def _serve(node: Node, listeners, stopping: Stopping, closed: trio.Event):
+async def _serve(node: Node, listeners, stopping: Stopping, drained: trio.Event):
 
     def report(error: Exception):
         node.log.error("internal error", exc_info=error)
 
     await serve_http(Handlers(node).handle, listeners, stopping, report=report)
-    closed.set()
+    drained.set()
 
 
-async def _close(stopping: Stopping, closed: trio.Event):
+async def _drain_exchanges(stopping: Stopping, drained: trio.Event):
     """Accept nothing more, and wait for the exchanges under way."""
     stopping.set()
-    await closed.wait()
+    await drained.wait()
 
 
 async def _stop_when_superseded(node: Node, stop: trio.Event):
@@ -85,7 +87,7 @@
 
 @contextlib.asynccontextmanager
 async def _open_context(settings: Settings):
-    with _naming_option("peer", settings.peer):
+    with _as_settings_error("peer", settings.peer):
         transport = await DatagramTransport.open(settings.peer, settings.fleet_secret)
     bulk = ControlClient()
     try:
@@ -107,12 +109,12 @@
 
 async def _listen(address: str) -> list[trio.SocketListener]:
     host, port = split_address(address)
-    with _naming_option("listen", address):
+    with _as_settings_error("listen", address):
         return await trio.open_tcp_listeners(port, host=host, backlog=BACKLOG)
 
 
 @contextlib.contextmanager
-def _naming_option(option: str, address: str):
+def _as_settings_error(option: str, address: str):
     """Turn a socket that cannot be opened into a fault of the settings."""
     try:
         yield
@@ -126,12 +128,14 @@
     log = open_log(settings.vm, settings.log_level)
     with open_signals() as signals:
         async with open_plain_nursery() as nursery:
-            nursery.start_soon(_obey, signals, stop, log)
+            nursery.start_soon(_handle_signals, signals, stop, log)
             await run_daemon(settings, stop, ready)
             nursery.cancel_scope.cancel()
 
 
-async def _obey(signals: AsyncIterator[int], stop: trio.Event, log: LoggerAdapter):
+async def _handle_signals(
+    signals: AsyncIterator[int], stop: trio.Event, log: LoggerAdapter
+):
     """Act on signals, in whichever state they come, until cancelled."""
     async for number in signals:
         if number == signal.SIGHUP:
--- a/packages/entry/plantainshed_entry/domain_news.py
+++ b/packages/entry/plantainshed_entry/domain_news.py
@@ -8,7 +8,7 @@
 
 
 @frozen
-class DomainNews:
+class HeartbeatExtra:
     """One VM's news for the others of its failure domain.
 
     Parameters
@@ -34,7 +34,7 @@
         return orjson.dumps([load, probes, round(self.outside_silence_s, 1)])
 
     @classmethod
-    def from_bytes(cls, data: bytes) -> "DomainNews":
+    def from_bytes(cls, data: bytes) -> "HeartbeatExtra":
         """Read news that `to_bytes` wrote."""
         load, probes, silence_s = orjson.loads(data)
         return cls(
--- a/packages/entry/plantainshed_entry/facts.py
+++ b/packages/entry/plantainshed_entry/facts.py
@@ -14,7 +14,7 @@
 DEFAULT_HEADROOM = 1.0
 
 
-class Facts:
+class RunStatistics:
     """What one run has measured since it started.
 
     Attributes
@@ -67,8 +67,8 @@
                 used[state.pool.name] += state.part.in_use + len(state.part.lent)
         for pool, count in slots.items():
             free = 1.0 - used[pool] / count if count else 0.0
-            known = self.headroom_min.get(pool, DEFAULT_HEADROOM)
-            self.headroom_min[pool] = round(min(known, free), 3)
+            lowest = self.headroom_min.get(pool, DEFAULT_HEADROOM)
+            self.headroom_min[pool] = round(min(lowest, free), 3)
 
     def _observe_drains(self):
         now = trio.current_time()
@@ -95,5 +95,5 @@
             "refused": refused,
             "headroom_min": self.headroom_min,
             "drain_s": self.drain_s,
-            "incidents": [item.as_fields() for item in self.incidents.kept],
+            "incidents": [item.as_fields() for item in self.incidents.entries],
         }
--- a/packages/entry/plantainshed_entry/handlers.py
+++ b/packages/entry/plantainshed_entry/handlers.py
@@ -19,7 +19,7 @@
 JSON_TYPE = (b"content-type", b"application/json")
 TEXT_TYPE = (b"content-type", b"text/plain; version=0.0.4; charset=utf-8")
 # What a server's connection knows how to end with.
-ENDS_OF_A_CONNECTION = (BadMessage, CallerLeft, *SOCKET_ERRORS)
+CONNECTION_ERRORS = (BadMessage, CallerLeft, *SOCKET_ERRORS)
 
 
 class Handlers:
@@ -27,7 +27,7 @@
 
     def __init__(self, node: Node):
         self.node = node
-        self.own_paths = {
+        self.daemon_paths = {
             LOOKUP_PATH: self._lookup,
             HEALTH_PATH: self._health,
             READY_PATH: self._ready,
@@ -38,7 +38,7 @@
         """Answer one exchange; a fault of this program costs no other."""
         try:
             await self._answer(exchange)
-        except ENDS_OF_A_CONNECTION:
+        except CONNECTION_ERRORS:
             raise
         except Exception:
             # Let through, it would end the process and cut all that it serves.
@@ -53,7 +53,7 @@
 
     async def _answer(self, exchange: Exchange):
         path = exchange.request.target.partition("?")[0]
-        own = self.own_paths.get(path)
+        own = self.daemon_paths.get(path)
         if own is None:
             await self.node.serving.serve(exchange)
         else:
@@ -65,7 +65,7 @@
         pool = query.get("pool", [""])[0]
         self.node.context.metrics.lookups.inc({"pool": pool})
         try:
-            answer = self.node.lookup.answer(_address_in(client), pool)
+            answer = self.node.lookup.answer(_strip_prefix_length(client), pool)
         except Refusal as refusal:
             body = {"reason": refusal.reason, "message": refusal.message}
             await exchange.reply(
@@ -103,6 +103,6 @@
             node.context.metrics.gauges.set({"what": name}, value)
 
 
-def _address_in(client: str) -> str:
+def _strip_prefix_length(client: str) -> str:
     """Return the address of a client given as an address or a block."""
     return client.partition("/")[0]
--- a/packages/entry/plantainshed_entry/in_force.py
+++ b/packages/entry/plantainshed_entry/in_force.py
@@ -57,7 +57,7 @@
 
 
 def index_document(
-    revision: Revision, segments: dict[str, bytes], before: IndexedDocument
+    revision: Revision, segments: dict[str, bytes], previous: IndexedDocument
 ) -> IndexedDocument:
     """Read and check a version; raise `DocumentError` if it is not valid.
 
@@ -68,8 +68,8 @@
         document = require_valid(from_segments(segments, with_blocks=False))
     except (ModelError, ValueError) as error:
         raise DocumentError(f"version {revision.version}: {error}") from error
-    blocks = before.blocks
-    if _block_digests(revision) != _block_digests(before.revision):
+    blocks = previous.blocks
+    if _block_digests(revision) != _block_digests(previous.revision):
         blocks = BlockTable(read_blocks(segments))
     return IndexedDocument(
         revision,
--- a/packages/entry/plantainshed_entry/incidents.py
+++ b/packages/entry/plantainshed_entry/incidents.py
@@ -5,7 +5,7 @@
 import trio
 from attrs import define
 
-MOST_KEPT = 200
+MAX_INCIDENTS = 200
 
 
 @define
@@ -41,15 +41,15 @@
     """The newest incidents, oldest first."""
 
     def __init__(self):
-        self.kept: deque[Incident] = deque(maxlen=MOST_KEPT)
+        self.entries: deque[Incident] = deque(maxlen=MAX_INCIDENTS)
         self._open: dict[str, Incident] = {}
 
-    def observe(self, what: str, is_wrong: bool):
+    def observe(self, what: str, is_active: bool):
         """Take in whether something is wrong at present."""
-        known = self._open.get(what)
-        if is_wrong and known is None:
+        incident = self._open.get(what)
+        if is_active and incident is None:
             self._open[what] = Incident(what, trio.current_time())
-            self.kept.append(self._open[what])
-        elif not is_wrong and known is not None:
-            known.ended_at = trio.current_time()
+            self.entries.append(self._open[what])
+        elif not is_active and incident is not None:
+            incident.ended_at = trio.current_time()
             del self._open[what]
--- a/packages/entry/plantainshed_entry/lookup.py
+++ b/packages/entry/plantainshed_entry/lookup.py
@@ -18,10 +18,10 @@
 from .steering import Steering
 
 TTL_S = 5
-MOST_ENTRIES = 4
+MAX_ENTRIES = 4
 BUCKETS = 512
 BUCKET_SHIFT = 32 - 9
-SPREADING_FACTOR = 2_654_435_761
+HASH_MULTIPLIER = 2_654_435_761
 MAX_UINT32 = 0xFFFF_FFFF
 NO_BLOCK_BUCKET = 0
 
@@ -99,14 +99,14 @@
         key = (pool, home, bucket)
         cached = self._cached.get(key)
         if cached is None:
-            cached = self._cached[key] = self._work_out(pool, home, bucket)
+            cached = self._cached[key] = self._compute_answer(pool, home, bucket)
         return cached
 
-    def forget(self):
+    def clear_cache(self):
         """Drop answers that were kept: something that they rest on changed."""
         self._cached.clear()
 
-    def _work_out(self, pool: str, home: str, bucket: int) -> LookupAnswer:
+    def _compute_answer(self, pool: str, home: str, bucket: int) -> LookupAnswer:
         block = str(bucket)
         records = {record.vm: record for record in self.membership.records()}
         entries = []
@@ -117,14 +117,14 @@
                 entries.append(
                     Entry(vm, record.listen, domain, operation_prefix(record))
                 )
-            if len(entries) >= MOST_ENTRIES:
+            if len(entries) >= MAX_ENTRIES:
                 break
         if not entries:
             raise Refusal(
                 Reason.NOT_READY, "no entry VM takes callers now", retry_after_s=1.0
             )
         return LookupAnswer(
-            tuple(entries[:MOST_ENTRIES]), TTL_S, self.in_force.revision.version
+            tuple(entries[:MAX_ENTRIES]), TTL_S, self.in_force.revision.version
         )
 
     def locate_client(self, client: str) -> tuple[str, int]:
@@ -140,5 +140,5 @@
             ) from None
         if match is None:
             return self.membership.identity.failure_domain, NO_BLOCK_BUCKET
-        bucket = (match.index * SPREADING_FACTOR & MAX_UINT32) >> BUCKET_SHIFT
+        bucket = (match.index * HASH_MULTIPLIER & MAX_UINT32) >> BUCKET_SHIFT
         return match.failure_domain, bucket
--- a/packages/entry/plantainshed_entry/node.py
+++ b/packages/entry/plantainshed_entry/node.py
@@ -27,8 +27,8 @@
 from .admission import KEY_WITHDRAWN_TOPIC, Admission, RateLimiter
 from .attempts import Attempts, Relay
 from .context import Context
-from .domain_news import DomainNews
-from .facts import Facts
+from .domain_news import HeartbeatExtra
+from .facts import RunStatistics
 from .in_force import budget_specs, empty_indexed_document, index_document
 from .loads import DomainLoad, LoadBoard
 from .lookup import TTL_S, Lookup
@@ -39,7 +39,7 @@
 from .steering import Steering
 from .targets import TargetOrder, TargetTable
 
-UPKEEP_S = 1.0
+MAINTENANCE_PERIOD_S = 1.0
 LEAVE_NOTICE_S = TTL_S + 1.0
 
 
@@ -77,7 +77,7 @@
             self.network,
             context.platform,
             [SeedMember(s.vm, s.failure_domain, s.peer) for s in settings.seeds],
-            _first_record(context),
+            _initial_record(context),
         )
         self.rumors = RumorBook(self.network, self.membership)
         self.holdings = Holdings(self.network, self.membership.is_awake)
@@ -100,7 +100,7 @@
         self.attempts = Attempts(
             self.routing, self.targets, self.poison, context.metrics, relay
         )
-        self.facts = Facts(self.membership, self.targets)
+        self.statistics = RunStatistics(self.membership, self.targets)
         self.serving = Serving(
             context,
             self.membership,
@@ -109,17 +109,17 @@
             self.operations,
             self.loads,
             self.lookup,
-            self.facts,
+            self.statistics,
         )
         self.probing = Probing(self.membership, self.targets, probe)
         self.follower = DocumentFollower(
             DocumentStore(context.platform),
             context.bulk,
             self.membership,
-            self._put_in_force,
+            self._activate_document,
         )
-        self._join_parts()
-        self._share_in_force()
+        self._connect_parts()
+        self._distribute_document()
 
     def _rebalancer(self, shard: str) -> Rebalancer:
         return Rebalancer(
@@ -130,12 +130,12 @@
             self.holdings,
         )
 
-    def _join_parts(self):
+    def _connect_parts(self):
         self.holdings.choose_from_group = self.routing.choose_to_lend
-        self.membership.make_heartbeat_extra = self._news_for_domain
-        self.membership.on_heartbeat_extra = self._take_domain_news
-        self.membership.make_summary_extra = self._load_for_domains
-        self.membership.on_summary_extra = self._take_domain_load
+        self.membership.make_heartbeat_extra = self._make_heartbeat_extra
+        self.membership.on_heartbeat_extra = self._on_heartbeat_extra
+        self.membership.make_summary_extra = self._make_summary_extra
+        self.membership.on_summary_extra = self._on_summary_extra
         self.rumors.listeners[KEY_WITHDRAWN_TOPIC] = self._on_key_withdrawn
 
     async def run(self):
@@ -157,7 +157,7 @@
             for shard, rebalancer in self.rebalancers.items():
                 nursery.start_soon(rebalancer.run, self._candidates_of(shard))
             nursery.start_soon(self._become_ready)
-            nursery.start_soon(self._upkeep)
+            nursery.start_soon(self._run_maintenance)
 
     def _candidates_of(self, shard: str):
         own = self.context.settings.failure_domain
@@ -171,13 +171,15 @@
         self.membership.update_record(state=MemberState.READY)
         self.log.info("ready", extra={"document_version": self.version})
 
-    async def _upkeep(self):
+    async def _run_maintenance(self):
         while True:
-            await trio.sleep(UPKEEP_S)
+            await trio.sleep(MAINTENANCE_PERIOD_S)
             self.holdings.reclaim_loans_of_ended_runs(self.membership.table.is_gone)
-            self.lookup.forget()
-            self._note_outside()
-            self.facts.observe(self.follower.store_heard_at, self.follower.is_watching)
+            self.lookup.clear_cache()
+            self._update_outside_contact()
+            self.statistics.observe(
+                self.follower.store_heard_at, self.follower.is_watching
+            )
 
     # Questions.
 
@@ -196,15 +198,15 @@
 
     # The document.
 
-    def _put_in_force(self, revision: Revision, segments: dict[str, bytes]):
+    def _activate_document(self, revision: Revision, segments: dict[str, bytes]):
         self.in_force = index_document(revision, segments, self.in_force)
-        self._share_in_force()
+        self._distribute_document()
         self.log.info(
             "document in force",
             extra={"document_version": revision.version, "change": revision.change_id},
         )
 
-    def _share_in_force(self):
+    def _distribute_document(self):
         in_force = self.in_force
         domain = self.context.settings.failure_domain
         self.holdings.set_specs(budget_specs(in_force.document, domain))
@@ -217,48 +219,48 @@
         ):
             part.in_force = in_force
         self.targets.take_document(in_force)
-        self.lookup.forget()
+        self.lookup.clear_cache()
         for key in in_force.document.keys:
             if key.withdrawn:
-                self.serving.cancel_key(key.key_id)
+                self.serving.cancel_calls_with_key(key.key_id)
 
     def withdraw_key(self, key_id: str):
         """Stop a key here and begin to stop it everywhere."""
         self.rumors.publish(KEY_WITHDRAWN_TOPIC, key_id)
 
     def _on_key_withdrawn(self, key_id: str, rumor):
-        cut = self.serving.cancel_key(key_id)
+        cut = self.serving.cancel_calls_with_key(key_id)
         self.log.info("key withdrawn", extra={"key_id": key_id, "cut": cut})
 
     # News for other VMs, and from them.
 
-    def _news_for_domain(self) -> bytes:
+    def _make_heartbeat_extra(self) -> bytes:
         load = self.loads.own_load({})
         silence_s = trio.current_time() - self.admission.outside_heard_at
-        return DomainNews(load, self.probing.found, max(0.0, silence_s)).to_bytes()
+        return HeartbeatExtra(load, self.probing.found, max(0.0, silence_s)).to_bytes()
 
-    def _take_domain_news(self, vm: str, data: bytes):
+    def _on_heartbeat_extra(self, vm: str, data: bytes):
         if not data:
             return
-        news = DomainNews.from_bytes(data)
+        news = HeartbeatExtra.from_bytes(data)
         self.loads.note_peer(vm, news.load)
         for name, found in news.probes.items():
             self.targets.note_probe(name, found)
-        self._heard_outside(trio.current_time() - news.outside_silence_s)
+        self._record_outside_contact(trio.current_time() - news.outside_silence_s)
 
-    def _load_for_domains(self) -> bytes:
+    def _make_summary_extra(self) -> bytes:
         return self.loads.domain_load(self.steering.own_capacity()).to_bytes()
 
-    def _take_domain_load(self, failure_domain: str, data: bytes):
+    def _on_summary_extra(self, failure_domain: str, data: bytes):
         if data and failure_domain != self.context.settings.failure_domain:
             self.loads.note_domain(failure_domain, DomainLoad.from_bytes(data))
 
-    def _note_outside(self):
+    def _update_outside_contact(self):
         heard = self.membership.table.domain_heard_at.values()
-        self._heard_outside(max(heard, default=0.0))
-        self._heard_outside(self.follower.store_heard_at)
+        self._record_outside_contact(max(heard, default=0.0))
+        self._record_outside_contact(self.follower.store_heard_at)
 
-    def _heard_outside(self, at: float):
+    def _record_outside_contact(self, at: float):
         self.admission.outside_heard_at = max(self.admission.outside_heard_at, at)
 
     # Stopping.
@@ -282,9 +284,9 @@
         with trio.move_on_after(timeout_s):
             await trio.sleep(LEAVE_NOTICE_S)
             await close()
-            await self._hand_over()
+            await self._release_resources()
 
-    async def _hand_over(self):
+    async def _release_resources(self):
         """Give back everything that others can use."""
         self.holdings.leave()
         await self.reporter.report_all()
@@ -294,7 +296,7 @@
         await self.membership.announce_leaving()
 
 
-def _first_record(context: Context) -> MemberRecord:
+def _initial_record(context: Context) -> MemberRecord:
     settings = context.settings
     return MemberRecord(
         vm=settings.vm,
--- a/packages/entry/plantainshed_entry/serving.py
+++ b/packages/entry/plantainshed_entry/serving.py
@@ -26,7 +26,7 @@
 from .call import Call
 from .context import Context
 from .errors import Refusal
-from .facts import Facts
+from .facts import RunStatistics
 from .in_force import IndexedDocument
 from .loads import LoadBoard
 from .lookup import Lookup
@@ -43,7 +43,7 @@
 MAX_TIMEOUT_MS = 3_600_000
 # Stricter than `isdigit`, which is also true of digits that `int` raises on, and
 # short enough for it: an error there would end the process.
-MILLISECONDS = re.compile(r"[0-9]{1,20}")
+TIMEOUT_MS_PATTERN = re.compile(r"[0-9]{1,20}")
 REQUEST_ID_BYTES = 8
 IN_PROGRESS_RETRY_AFTER_S = 1.0
 
@@ -67,7 +67,7 @@
         operations: OperationRegistry,
         loads: LoadBoard,
         lookup: Lookup,
-        facts: Facts,
+        statistics: RunStatistics,
     ):
         self.log = context.log
         self.metrics = context.metrics
@@ -77,7 +77,7 @@
         self.operations = operations
         self.loads = loads
         self.lookup = lookup
-        self.facts = facts
+        self.statistics = statistics
         self.in_force: IndexedDocument | None = None
         self.calls: dict[str, Call] = {}
 
@@ -122,12 +122,12 @@
             pool=pool,
             home_domain=self.lookup.locate_client(exchange.caller)[0],
             deadline=trio.current_time() + _parse_timeout_s(head, pool),
-            operation=_operation_of(head),
+            operation=_parse_operation_id(head),
             exchange=exchange,
         )
         self.loads.count_arrival(pool.name, call.home_domain)
         await self.admission.spend_rate(admitted.workspace)
-        if _is_small(head):
+        if _fits_in_buffer(head):
             call.body = await exchange.read_body(BUFFERED_BODY_BYTES)
         call.fingerprint = fingerprint(
             call.workspace, call.method, call.path, call.body
@@ -135,7 +135,7 @@
         return call
 
     def _registered(self, call: Call):
-        return _Registered(self.calls, call)
+        return _CallRegistration(self.calls, call)
 
     async def _run_within_deadline(self, call: Call):
         call.cancel_scope = trio.CancelScope(deadline=call.deadline)
@@ -144,14 +144,14 @@
                 # Withdrawn while the request waited for its rate.
                 call.cancel_scope.cancel()
             if call.body is None:
-                await self._run_once(call)
+                await self._run_at_most_once(call)
             else:
                 async with call.exchange.cancelled_when_caller_leaves():
-                    await self._run_once(call)
+                    await self._run_at_most_once(call)
             return
-        self._explain_cancel(call)
+        self._refuse_cancelled(call)
 
-    def _explain_cancel(self, call: Call):
+    def _refuse_cancelled(self, call: Call):
         """Raise the refusal for a request whose scope was cancelled."""
         outcome = Outcome.UNKNOWN if call.attempts else Outcome.NOT_RUN
         # A withdrawal cuts requests that run or wait under the key.
@@ -161,14 +161,14 @@
             )
         raise Refusal(Reason.DEADLINE, "the deadline has passed", outcome)
 
-    async def _run_once(self, call: Call):
+    async def _run_at_most_once(self, call: Call):
         """Run a request, an operation at most once."""
         if call.operation is None or call.is_idempotent:
             await self._run(call)
             return
         claim = await self.operations.claim(call.operation)
         if claim.verdict is not Verdict.RUN:
-            await self._answer_repeat(call, claim)
+            await self._answer_repeated_operation(call, claim)
             return
         await self._run_claimed(call)
 
@@ -195,9 +195,9 @@
         await self.attempts.run(call)
         seconds = trio.current_time() - call.began_at
         self.metrics.count_answer(call.workspace, seconds)
-        self.facts.answered[call.workspace] += 1
+        self.statistics.answered[call.workspace] += 1
 
-    async def _answer_repeat(self, call: Call, claim):
+    async def _answer_repeated_operation(self, call: Call, claim):
         if claim.verdict is Verdict.DONE and claim.answer:
             recorded = RecordedAnswer.from_bytes(claim.answer)
             headers = [*recorded.headers, (REPEAT_HEADER, b"1")]
@@ -217,7 +217,7 @@
             Outcome.UNKNOWN,
         )
 
-    def cancel_key(self, key_id: str) -> int:
+    def cancel_calls_with_key(self, key_id: str) -> int:
         """Cut what runs or waits under a withdrawn key; return how many."""
         cut = 0
         for call in list(self.calls.values()):
@@ -229,7 +229,7 @@
     async def _refuse(self, exchange: Exchange, call: Call | None, refusal: Refusal):
         workspace = call.workspace if call else ""
         self.metrics.count_refusal(refusal.reason, refusal.outcome, workspace)
-        self.facts.refused[refusal.reason, refusal.outcome, workspace] += 1
+        self.statistics.refused[refusal.reason, refusal.outcome, workspace] += 1
         self.log.info(
             "refused",
             extra={
@@ -249,7 +249,7 @@
         )
 
 
-class _Registered:
+class _CallRegistration:
     """Keeps a call in the table of calls for the length of a block."""
 
     def __init__(self, calls: dict[str, Call], call: Call):
@@ -267,7 +267,7 @@
     text = head.header(DEADLINE_HEADER)
     if text is None:
         return pool.timeout_s
-    if not MILLISECONDS.fullmatch(text) or not 0 < int(text) <= MAX_TIMEOUT_MS:
+    if not TIMEOUT_MS_PATTERN.fullmatch(text) or not 0 < int(text) <= MAX_TIMEOUT_MS:
         raise Refusal(
             Reason.BAD_REQUEST,
             f"request-timeout-ms: {text!r} must be 1 to {MAX_TIMEOUT_MS} milliseconds",
@@ -275,7 +275,7 @@
     return min(pool.timeout_s, int(text) / 1000)
 
 
-def _operation_of(head: RequestHead) -> OperationId | None:
+def _parse_operation_id(head: RequestHead) -> OperationId | None:
     text = head.header(OPERATION_HEADER)
     if text is None:
         return None
@@ -285,7 +285,7 @@
         raise Refusal(Reason.BAD_REQUEST, f"operation-id: {error}") from error
 
 
-def _is_small(head: RequestHead) -> bool:
+def _fits_in_buffer(head: RequestHead) -> bool:
     length = head.header(b"content-length")
     if length is not None:
         return int(length) <= BUFFERED_BODY_BYTES
--- a/packages/entry/plantainshed_entry/settings.py
+++ b/packages/entry/plantainshed_entry/settings.py
@@ -15,7 +15,7 @@
     "fleet": {"seeds", "secret_file"},
     "log": {"level"},
 }
-REQUIRED = {
+REQUIRED_OPTIONS = {
     "vm": ("name", "failure_domain", "listen", "peer", "control"),
     "platform": ("address",),
 }
@@ -94,7 +94,7 @@
     faults = [
         *_unknown_options(parser),
         *_missing_options(parser),
-        *_wrong_values(parser),
+        *_invalid_values(parser),
     ]
     if faults:
         raise SettingsError(faults)
@@ -129,17 +129,19 @@
 
 
 def _missing_options(parser):
-    for section, options in REQUIRED.items():
+    for section, options in REQUIRED_OPTIONS.items():
         for option in options:
             if not parser.get(section, option, fallback="").strip():
                 yield f"[{section}] {option}: missing; it must be set"
 
 
-def _wrong_values(parser):
+def _invalid_values(parser):
     for option in ("name", "failure_domain"):
         value = parser.get("vm", option, fallback="")
         if not set(value) <= NAME_CHARACTERS:
-            yield _fault("vm", option, value, "lower-case letters, digits and '-_.'")
+            yield _format_fault(
+                "vm", option, value, "lower-case letters, digits and '-_.'"
+            )
     for section, option in (
         ("vm", "listen"),
         ("vm", "peer"),
@@ -148,20 +150,24 @@
     ):
         value = parser.get(section, option, fallback="")
         if value and not is_address(value):
-            yield _fault(section, option, value, "IP:PORT, such as 10.0.0.1:8080")
+            yield _format_fault(
+                section, option, value, "IP:PORT, such as 10.0.0.1:8080"
+            )
     level = parser.get("log", "level", fallback="info")
     if level not in LOG_LEVELS:
-        yield _fault("log", "level", level, "one of " + ", ".join(LOG_LEVELS))
+        yield _format_fault("log", "level", level, "one of " + ", ".join(LOG_LEVELS))
     for line in _seed_lines(parser):
         parts = line.split()
         if len(parts) != 3 or not is_address(parts[2]):
-            yield _fault("fleet", "seeds", line, "lines of VM FAILURE_DOMAIN IP:PORT")
+            yield _format_fault(
+                "fleet", "seeds", line, "lines of VM FAILURE_DOMAIN IP:PORT"
+            )
     secret_file = parser.get("fleet", "secret_file", fallback="")
     if secret_file and not Path(secret_file).is_file():
-        yield _fault("fleet", "secret_file", secret_file, "the path of a file")
+        yield _format_fault("fleet", "secret_file", secret_file, "the path of a file")
 
 
-def _fault(section, option, value, allowed):
+def _format_fault(section, option, value, allowed):
     return f"[{section}] {option} = {value!r}: must be {allowed}"
 
 
