--- a/packages/entry/plantainshed_entry/domain_news.py
+++ b/packages/entry/plantainshed_entry/domain_news.py
@@ -1,4 +1,4 @@
-"""What VMs of one failure domain tell each other with their heartbeats."""
+"""Application data that VMs of one failure domain exchange in heartbeats."""
 
 import orjson
 from attrs import frozen
@@ -9,15 +9,16 @@
 
 @frozen
 class HeartbeatExtra:
-    """One VM's news for the others of its failure domain.
+    """Data that a VM adds to its heartbeats within its failure domain.
 
     Parameters
     ----------
     load : DomainLoad
+        Demand that arrives at the sender.
     probes : dict of str to ProbeNews
-        What it found, by target.
+        Results of the sender's health checks, by target.
     outside_silence_s : float
-        How long it has heard nothing from outside the failure domain.
+        Seconds since the sender last heard from outside the failure domain.
     """
 
     load: DomainLoad
@@ -25,17 +26,17 @@
     outside_silence_s: float
 
     def to_bytes(self) -> bytes:
-        """Return the news as compact JSON."""
+        """Encode the data as compact JSON."""
         probes = {
-            name: [int(news.healthy), int(news.draining), news.load]
-            for name, news in self.probes.items()
+            name: [int(result.healthy), int(result.draining), result.load]
+            for name, result in self.probes.items()
         }
         load = self.load.to_bytes().decode()
         return orjson.dumps([load, probes, round(self.outside_silence_s, 1)])
 
     @classmethod
     def from_bytes(cls, data: bytes) -> "HeartbeatExtra":
-        """Read news that `to_bytes` wrote."""
+        """Decode data that was encoded by `to_bytes`."""
         load, probes, silence_s = orjson.loads(data)
         return cls(
             DomainLoad.from_bytes(load.encode()),
--- a/packages/entry/plantainshed_entry/facts.py
+++ b/packages/entry/plantainshed_entry/facts.py
@@ -1,4 +1,8 @@
-"""Measured facts that a VM keeps for reports: counts, headroom, drains, incidents."""
+"""Statistics that a VM collects for reports.
+
+They cover request counts, headroom, the duration of drains, and incidents. The
+command ``facts`` returns them.
+"""
 
 from collections import Counter
 
@@ -15,19 +19,21 @@
 
 
 class RunStatistics:
-    """What one run has measured since it started.
+    """Statistics of this process since it started.
 
     Attributes
     ----------
     answered : collections.Counter
-        Requests answered, by workspace.
+        Number of answered requests, by workspace.
     refused : collections.Counter
-        Requests refused, by (reason, outcome, workspace).
+        Number of refused requests, by (reason, outcome, workspace).
     headroom_min : dict of str to float
-        Smallest share of a pool's slots in the own failure domain that was
-        free, by pool.
+        Lowest observed fraction of free slots, by pool. Only this VM's parts
+        of slots in its own failure domain count.
     drain_s : dict of str to float
-        How long each drained target took to be empty of this VM's requests.
+        Seconds from the start of a target's drain until this VM had no more
+        requests running on it, by target.
+    incidents : IncidentLog
     """
 
     def __init__(self, membership: Membership, targets: TargetTable):
@@ -42,7 +48,15 @@
         self._draining: dict[str, float] = {}
 
     def observe(self, store_heard_at: float, is_watching: bool):
-        """Take in how things stand now; called about once a second."""
+        """Sample the current state; called about once a second.
+
+        Parameters
+        ----------
+        store_heard_at : float
+            When the object store last answered.
+        is_watching : bool
+            Whether this VM watches the object store for its failure domain.
+        """
         self._observe_headroom()
         self._observe_drains()
         now = trio.current_time()
@@ -82,7 +96,7 @@
                 self.drain_s[name] = round(now - self._draining[name], 1)
 
     def as_fields(self) -> dict:
-        """Return all facts as plain values."""
+        """Return all statistics as plain values."""
         refused = [
             {"reason": r, "outcome": o, "workspace": w, "count": count}
             for (r, o, w), count in self.refused.items()
--- a/packages/entry/plantainshed_entry/in_force.py
+++ b/packages/entry/plantainshed_entry/in_force.py
@@ -1,4 +1,4 @@
-"""The document in force on this VM, made ready for looking things up."""
+"""The document in force on this VM, with lookup tables."""
 
 from attrs import field, frozen
 
@@ -21,15 +21,23 @@
 
 @frozen
 class IndexedDocument:
-    """A version of the document, with indexes.
+    """A revision of the document, with lookup tables.
 
     Parameters
     ----------
     revision : Revision
     document : Document
-        Without its client blocks; those are in `blocks`.
+        The document without its client blocks, which are in `blocks`.
     blocks : BlockTable
     keys : KeyRing
+    workspaces : dict of str to Workspace
+        Workspaces by name.
+    pools : dict of str to Pool
+        Pools by name.
+    region_by_domain : dict of str to str
+        Region of each failure domain.
+    withdrawn_keys : frozenset of str
+        Ids of the keys that the document marks as withdrawn.
     """
 
     revision: Revision
@@ -42,16 +50,16 @@
     withdrawn_keys: frozenset[str] = frozenset()
 
     def pool_for(self, path: str) -> Pool | None:
-        """Return the pool that serves a path."""
+        """Return the pool that serves a path, or None."""
         return pool_for_path(self.document, path)
 
     def region_of(self, failure_domain: str) -> str:
-        """Return the region of a failure domain, empty if unknown."""
+        """Return the region of a failure domain, or an empty string if unknown."""
         return self.region_by_domain.get(failure_domain, "")
 
 
 def empty_indexed_document() -> IndexedDocument:
-    """Return the state before any document was received."""
+    """Return an empty document, used until the first one arrives."""
     document = Document()
     return IndexedDocument(EMPTY_REVISION, document, BlockTable(()), KeyRing(document))
 
@@ -59,10 +67,10 @@
 def index_document(
     revision: Revision, segments: dict[str, bytes], previous: IndexedDocument
 ) -> IndexedDocument:
-    """Read and check a version; raise `DocumentError` if it is not valid.
+    """Parse, check and index a revision; raise `DocumentError` if it is invalid.
 
-    The table of blocks is kept when no segment of it changed: building it
-    takes a second or more at 210,000 blocks.
+    The block table of the previous revision is reused if none of its segments
+    changed, because building it takes a second or more with 210,000 blocks.
     """
     try:
         document = require_valid(from_segments(segments, with_blocks=False))
@@ -95,10 +103,10 @@
 
 
 def budget_specs(document: Document, failure_domain: str) -> list[BudgetSpec]:
-    """Return the budgets that a VM of a failure domain takes part in.
+    """Return the budgets of which a VM in a failure domain holds a part.
 
-    Slots of targets are divided among the VMs of the targets' own domain;
-    others borrow them one by one.
+    The slots of a target are divided among the VMs of the target's own failure
+    domain. VMs of other domains borrow slots one at a time.
     """
     specs = [
         BudgetSpec(
--- a/packages/entry/plantainshed_entry/incidents.py
+++ b/packages/entry/plantainshed_entry/incidents.py
@@ -1,4 +1,4 @@
-"""What was wrong, and for how long, as this VM saw it."""
+"""Log of the incidents that this VM observed."""
 
 from collections import deque
 
@@ -10,15 +10,16 @@
 
 @define
 class Incident:
-    """Something that was wrong for a while.
+    """A period during which a fault was observed.
 
     Parameters
     ----------
     what : str
+        Description of the fault.
     began_at : float
-        By this process's clock.
+        Start time on this process's monotonic clock.
     ended_at : float or None
-        None while it goes on.
+        End time, or None while the incident is ongoing.
     """
 
     what: str
@@ -26,7 +27,7 @@
     ended_at: float | None = None
 
     def as_fields(self) -> dict:
-        """Return the incident with ages in seconds instead of clock times."""
+        """Return the incident as plain values, with ages instead of clock times."""
         now = trio.current_time()
         end = now if self.ended_at is None else self.ended_at
         return {
@@ -38,14 +39,20 @@
 
 
 class IncidentLog:
-    """The newest incidents, oldest first."""
+    """The most recent incidents, oldest first.
+
+    Attributes
+    ----------
+    entries : collections.deque of Incident
+        At most `MAX_INCIDENTS`.
+    """
 
     def __init__(self):
         self.entries: deque[Incident] = deque(maxlen=MAX_INCIDENTS)
         self._open: dict[str, Incident] = {}
 
     def observe(self, what: str, is_active: bool):
-        """Take in whether something is wrong at present."""
+        """Open an incident when a fault appears and close it when it is gone."""
         incident = self._open.get(what)
         if is_active and incident is None:
             self._open[what] = Incident(what, trio.current_time())
--- a/packages/entry/plantainshed_entry/lookup.py
+++ b/packages/entry/plantainshed_entry/lookup.py
@@ -1,8 +1,8 @@
-"""Look-ups: which entry VMs a caller is to use.
+"""Look-ups, which tell a caller the entry VMs to use.
 
-Blocks are spread over `BUCKETS` buckets by hash, and an answer is worked out
-once for each pool, home domain and bucket until something that it rests on
-changes: with 210,000 blocks nearly every look-up finds it ready.
+Client blocks are hashed into `BUCKETS` buckets. Answers are cached by pool, home
+domain and bucket until the cache is cleared, once a second and with each new
+document. Even with 210,000 blocks, nearly every look-up hits the cache.
 """
 
 import orjson
@@ -21,20 +21,20 @@
 MAX_ENTRIES = 4
 BUCKETS = 512
 BUCKET_SHIFT = 32 - 9
-HASH_MULTIPLIER = 2_654_435_761
+HASH_MULTIPLIER = 2_654_435_761  # Knuth's multiplicative hash
 MAX_UINT32 = 0xFFFF_FFFF
 NO_BLOCK_BUCKET = 0
 
 
 @frozen
 class Entry:
-    """An entry VM in an answer, best first.
+    """One entry VM in the answer to a look-up.
 
     Parameters
     ----------
     vm, address, failure_domain : str
     operation_prefix : str
-        What a caller puts before a nonce of its own to make an operation id.
+        Prefix of operation ids. A caller appends its own nonce.
     """
 
     vm: str
@@ -50,8 +50,9 @@
     Parameters
     ----------
     entries : tuple of Entry
+        Entry VMs to use, best first.
     ttl_s : int
-        How long a caller may keep the answer, in seconds.
+        How long a caller may cache the answer, in seconds.
     document_version : int
     """
 
@@ -85,6 +86,7 @@
     Attributes
     ----------
     in_force : IndexedDocument
+        Document in force.
     """
 
     def __init__(self, membership: Membership, steering: Steering):
@@ -94,7 +96,7 @@
         self._cached: dict[tuple[str, str, int], LookupAnswer] = {}
 
     def answer(self, client: str, pool: str) -> LookupAnswer:
-        """Return the VMs for a client, or raise `Refusal`."""
+        """Return the entry VMs for a client, or raise `Refusal`."""
         home, bucket = self.locate_client(client)
         key = (pool, home, bucket)
         cached = self._cached.get(key)
@@ -103,7 +105,7 @@
         return cached
 
     def clear_cache(self):
-        """Drop answers that were kept: something that they rest on changed."""
+        """Drop all cached answers, because their inputs may have changed."""
         self._cached.clear()
 
     def _compute_answer(self, pool: str, home: str, bucket: int) -> LookupAnswer:
@@ -128,9 +130,9 @@
         )
 
     def locate_client(self, client: str) -> tuple[str, int]:
-        """Return the failure domain near a client, and the bucket of its block.
+        """Return the failure domain nearest to a client and its block's bucket.
 
-        A client in no block is taken to be near this VM.
+        A client outside all blocks is assigned to this VM's failure domain.
         """
         try:
             match = self.in_force.blocks.find(client)
--- a/packages/entry/plantainshed_entry/node.py
+++ b/packages/entry/plantainshed_entry/node.py
@@ -1,7 +1,7 @@
-"""One VM's part of the system, without sockets: all parts, joined.
+"""All components of one VM, connected to each other but not to sockets.
 
-The daemon puts a node on real sockets; replays put several on a network in
-memory. Both serve callers through `Node.serve`.
+The daemon runs a node on real sockets. Replays run several nodes on an
+in-memory network. Both serve callers through `Serving.serve`.
 """
 
 import contextlib
@@ -44,19 +44,20 @@
 
 
 class Node:
-    """All parts of one VM.
+    """All components of one VM.
 
     Parameters
     ----------
     context : Context
     relay : callable
-        Runs one attempt at a target.
+        Sends one attempt to a target.
     probe : callable
         Checks one target's health.
     limiter : RateLimiter, optional
-        Instead of the parts and loans of this library, for comparisons.
+        Rate limiter to compare with the default, which divides each budget
+        into parts and lends tokens between VMs.
     order : TargetOrder, optional
-        Instead of the least loaded first, for comparisons.
+        Order of targets to compare with the default, least loaded first.
     """
 
     def __init__(
@@ -118,7 +119,7 @@
             self.membership,
             self._activate_document,
         )
-        self._connect_parts()
+        self._connect_components()
         self._distribute_document()
 
     def _rebalancer(self, shard: str) -> Rebalancer:
@@ -130,7 +131,7 @@
             self.holdings,
         )
 
-    def _connect_parts(self):
+    def _connect_components(self):
         self.holdings.choose_from_group = self.routing.choose_to_lend
         self.membership.make_heartbeat_extra = self._make_heartbeat_extra
         self.membership.on_heartbeat_extra = self._on_heartbeat_extra
@@ -139,9 +140,9 @@
         self.rumors.listeners[KEY_WITHDRAWN_TOPIC] = self._on_key_withdrawn
 
     async def run(self):
-        """Run all parts until cancelled."""
+        """Run all components until cancelled."""
         async with trio.open_nursery() as nursery:
-            for part in (
+            for component in (
                 self.network,
                 self.membership,
                 self.rumors,
@@ -153,7 +154,7 @@
                 self.routing,
                 self.steering,
             ):
-                nursery.start_soon(part.run)
+                nursery.start_soon(component.run)
             for shard, rebalancer in self.rebalancers.items():
                 nursery.start_soon(rebalancer.run, self._candidates_of(shard))
             nursery.start_soon(self._become_ready)
@@ -181,22 +182,22 @@
                 self.follower.store_heard_at, self.follower.is_watching
             )
 
-    # Questions.
+    # State.
 
     @property
     def version(self) -> int:
-        """Version of the document in force, 0 before the first."""
+        """Version of the document in force, 0 before the first one arrives."""
         return self.in_force.revision.version
 
     @property
     def is_ready(self) -> bool:
-        """Whether this VM takes callers."""
+        """Whether this VM accepts callers' requests."""
         return (
             self.membership.record.state == MemberState.READY
             and self.membership.is_awake()
         )
 
-    # The document.
+    # Document and keys.
 
     def _activate_document(self, revision: Revision, segments: dict[str, bytes]):
         self.in_force = index_document(revision, segments, self.in_force)
@@ -210,14 +211,14 @@
         in_force = self.in_force
         domain = self.context.settings.failure_domain
         self.holdings.set_specs(budget_specs(in_force.document, domain))
-        for part in (
+        for component in (
             self.admission,
             self.routing,
             self.steering,
             self.lookup,
             self.serving,
         ):
-            part.in_force = in_force
+            component.in_force = in_force
         self.targets.take_document(in_force)
         self.lookup.clear_cache()
         for key in in_force.document.keys:
@@ -225,14 +226,14 @@
                 self.serving.cancel_calls_with_key(key.key_id)
 
     def withdraw_key(self, key_id: str):
-        """Stop a key here and begin to stop it everywhere."""
+        """Withdraw a key on this VM and publish the withdrawal to the fleet."""
         self.rumors.publish(KEY_WITHDRAWN_TOPIC, key_id)
 
     def _on_key_withdrawn(self, key_id: str, rumor):
-        cut = self.serving.cancel_calls_with_key(key_id)
-        self.log.info("key withdrawn", extra={"key_id": key_id, "cut": cut})
+        cancelled = self.serving.cancel_calls_with_key(key_id)
+        self.log.info("key withdrawn", extra={"key_id": key_id, "cut": cancelled})
 
-    # News for other VMs, and from them.
+    # Application data in heartbeats and summaries.
 
     def _make_heartbeat_extra(self) -> bytes:
         load = self.loads.own_load({})
@@ -242,11 +243,11 @@
     def _on_heartbeat_extra(self, vm: str, data: bytes):
         if not data:
             return
-        news = HeartbeatExtra.from_bytes(data)
-        self.loads.note_peer(vm, news.load)
-        for name, found in news.probes.items():
-            self.targets.note_probe(name, found)
-        self._record_outside_contact(trio.current_time() - news.outside_silence_s)
+        extra = HeartbeatExtra.from_bytes(data)
+        self.loads.note_peer(vm, extra.load)
+        for name, result in extra.probes.items():
+            self.targets.note_probe(name, result)
+        self._record_outside_contact(trio.current_time() - extra.outside_silence_s)
 
     def _make_summary_extra(self) -> bytes:
         return self.loads.domain_load(self.steering.own_capacity()).to_bytes()
@@ -256,8 +257,8 @@
             self.loads.note_domain(failure_domain, DomainLoad.from_bytes(data))
 
     def _update_outside_contact(self):
-        heard = self.membership.table.domain_heard_at.values()
-        self._record_outside_contact(max(heard, default=0.0))
+        heard_at = self.membership.table.domain_heard_at.values()
+        self._record_outside_contact(max(heard_at, default=0.0))
         self._record_outside_contact(self.follower.store_heard_at)
 
     def _record_outside_contact(self, at: float):
@@ -266,18 +267,22 @@
     # Stopping.
 
     async def leave(self, close: Callable[[], Awaitable[None]], timeout_s: float):
-        """Stop without cutting a request: steer callers away, end what runs.
+        """Shut down gracefully, without cancelling requests.
 
-        Callers keep an answered look-up for its time to live. A VM that closed
-        before that was over would cost each of them a failed connection; one
-        that gave up its parts before it closed would refuse its last callers.
+        The VM announces that it is leaving, waits until cached look-ups have
+        expired, completes the running requests and releases its resources.
+
+        If it closed its listeners earlier, every caller with a cached look-up
+        would get a failed connection. If it released its budget parts before it
+        closed them, it would refuse its last callers.
 
         Parameters
         ----------
         close : callable
-            Accepts nothing more and returns when all exchanges have ended.
+            Stops accepting connections and returns when all exchanges have
+            ended.
         timeout_s : float
-            When to give up.
+            Time after which the shutdown is abandoned, in seconds.
         """
         self.log.info("leaving", extra={"in_flight": self.serving.in_flight})
         self.membership.update_record(state=MemberState.LEAVING)
@@ -287,7 +292,7 @@
             await self._release_resources()
 
     async def _release_resources(self):
-        """Give back everything that others can use."""
+        """Release budget parts and leases, and announce the departure."""
         self.holdings.leave()
         await self.reporter.report_all()
         for rebalancer in self.rebalancers.values():
--- a/packages/entry/plantainshed_entry/serving.py
+++ b/packages/entry/plantainshed_entry/serving.py
@@ -1,7 +1,8 @@
-"""A caller's request from its head to its answer.
+"""Serving of callers' requests.
 
-`Serving.serve` reads like the story: whose is it, may it run, has it run
-before, which target answers it, and what the caller is told if none does.
+`Serving.serve` authenticates a request, applies the workspace's rate limit,
+deduplicates operations and forwards the request to a target. If one of these
+steps fails, it answers with a refusal.
 """
 
 import re
@@ -41,8 +42,8 @@
 REPEAT_HEADER = b"plantainshed-repeat"
 BUFFERED_BODY_BYTES = 64 * 1024
 MAX_TIMEOUT_MS = 3_600_000
-# Stricter than `isdigit`, which is also true of digits that `int` raises on, and
-# short enough for it: an error there would end the process.
+# `str.isdigit` also accepts digits that `int` rejects, such as superscripts, and
+# `int` rejects very long numbers. The ValueError would end the process.
 TIMEOUT_MS_PATTERN = re.compile(r"[0-9]{1,20}")
 REQUEST_ID_BYTES = 8
 IN_PROGRESS_RETRY_AFTER_S = 1.0
@@ -54,8 +55,9 @@
     Attributes
     ----------
     in_force : IndexedDocument
+        Document in force.
     calls : dict of str to Call
-        Requests that are running or waiting here, by request id.
+        Requests that are running or queued on this VM, by request id.
     """
 
     def __init__(
@@ -83,11 +85,11 @@
 
     @property
     def in_flight(self) -> int:
-        """Number of requests that are running or waiting here."""
+        """Number of requests that are running or queued on this VM."""
         return len(self.calls)
 
     async def serve(self, exchange: Exchange):
-        """Answer one request, by a target or by a refusal."""
+        """Answer one request with a target's response or with a refusal."""
         call = None
         try:
             self._require_awake()
@@ -98,12 +100,12 @@
             await self._refuse(exchange, call, refusal)
 
     def _require_awake(self):
-        # A process that was paused would go on with parts of limits and with
-        # keys as it knew them; see `Membership.is_awake`.
+        # After a pause, this process's budget parts and withdrawn keys may be
+        # out of date; see `Membership.is_awake`.
         if not self.membership.is_awake():
             raise Refusal(
                 Reason.NOT_READY,
-                "this VM was paused and is finding out what it missed",
+                "this VM was paused and is refreshing its data",
                 retry_after_s=1.0,
             )
 
@@ -141,7 +143,7 @@
         call.cancel_scope = trio.CancelScope(deadline=call.deadline)
         with call.cancel_scope:
             if self.admission.is_withdrawn(call.key_id):
-                # Withdrawn while the request waited for its rate.
+                # The key was withdrawn while the request waited for a rate token.
                 call.cancel_scope.cancel()
             if call.body is None:
                 await self._run_at_most_once(call)
@@ -152,9 +154,9 @@
         self._refuse_cancelled(call)
 
     def _refuse_cancelled(self, call: Call):
-        """Raise the refusal for a request whose scope was cancelled."""
+        """Raise the refusal for a request whose cancel scope was cancelled."""
         outcome = Outcome.UNKNOWN if call.attempts else Outcome.NOT_RUN
-        # A withdrawal cuts requests that run or wait under the key.
+        # Withdrawing a key cancels its requests, both running and queued.
         if self.admission.is_withdrawn(call.key_id):
             raise Refusal(
                 Reason.KEY_WITHDRAWN, f"the key {call.key_id} was withdrawn", outcome
@@ -162,7 +164,10 @@
         raise Refusal(Reason.DEADLINE, "the deadline has passed", outcome)
 
     async def _run_at_most_once(self, call: Call):
-        """Run a request, an operation at most once."""
+        """Run a request; run an operation with an operation id at most once.
+
+        Idempotent methods are not deduplicated.
+        """
         if call.operation is None or call.is_idempotent:
             await self._run(call)
             return
@@ -186,8 +191,9 @@
                 if did_not_run:
                     await self.operations.release(call.operation)
                 else:
-                    # Without a complete answer nobody knows whether it ran. It
-                    # stays claimed, so that a repeat is told so and not run.
+                    # Without a complete answer, the outcome is unknown. The
+                    # operation stays claimed, so that a repeat is refused with
+                    # an unknown outcome instead of being run again.
                     answer = recorder.to_bytes() if recorder.is_complete else None
                     await self.operations.finish(call.operation, answer)
 
@@ -206,25 +212,31 @@
         if claim.verdict is Verdict.IN_PROGRESS:
             raise Refusal(
                 Reason.OPERATION_IN_PROGRESS,
-                f"operation {call.operation} is running; ask for it again",
+                f"operation {call.operation} is still running; retry later",
                 Outcome.UNKNOWN,
                 IN_PROGRESS_RETRY_AFTER_S,
             )
         raise Refusal(
             Reason.OPERATION_UNKNOWN,
-            f"operation {call.operation} was begun, or can have been, and what "
-            "became of it is not known here; it was not run again",
+            f"operation {call.operation} may have been started and its outcome "
+            "is unknown; it was not run again",
             Outcome.UNKNOWN,
         )
 
     def cancel_calls_with_key(self, key_id: str) -> int:
-        """Cut what runs or waits under a withdrawn key; return how many."""
-        cut = 0
+        """Cancel all requests that use a withdrawn key.
+
+        Returns
+        -------
+        int
+            Number of cancelled requests.
+        """
+        cancelled = 0
         for call in list(self.calls.values()):
             if call.key_id == key_id and call.cancel_scope is not None:
                 call.cancel_scope.cancel()
-                cut += 1
-        return cut
+                cancelled += 1
+        return cancelled
 
     async def _refuse(self, exchange: Exchange, call: Call | None, refusal: Refusal):
         workspace = call.workspace if call else ""
@@ -241,8 +253,8 @@
             },
         )
         if exchange.started:
-            # Part of an answer has gone out; only breaking off shows the
-            # caller that the rest is missing.
+            # Part of the answer was already sent. Only closing the connection
+            # tells the caller that the answer is incomplete.
             raise trio.BrokenResourceError
         await exchange.reply(
             STATUS[refusal.reason], _refusal_headers(refusal), _refusal_body(refusal)
@@ -250,7 +262,7 @@
 
 
 class _CallRegistration:
-    """Keeps a call in the table of calls for the length of a block."""
+    """Context manager that keeps a call in the table of running calls."""
 
     def __init__(self, calls: dict[str, Call], call: Call):
         self.calls = calls
