--- a/packages/entry/plantainshed_entry/commands.py
+++ b/packages/entry/plantainshed_entry/commands.py
@@ -1,4 +1,4 @@
-"""What operators can have a running daemon do or tell, over its control port."""
+"""Operator commands that a running daemon accepts on its control port."""
 
 import hmac
 
@@ -14,14 +14,14 @@
 
 
 class Commands:
-    """Carries out operators' commands on a node.
+    """Executes operators' commands on a node.
 
     Parameters
     ----------
     node : Node
     credential : bytes
-        What a command must bear; the fleet's secret. Empty accepts all, for a
-        fleet whose settings name no secret.
+        The fleet's secret, which each command must contain. If the settings
+        name no secret, it is empty, and commands must contain an empty one.
     """
 
     def __init__(self, node: Node, credential: bytes):
@@ -34,7 +34,7 @@
         }
 
     async def handle(self, request: ControlRequest) -> ControlReply:
-        """Carry out one command."""
+        """Execute one command."""
         if not hmac.compare_digest(request.credential.encode(), self.credential):
             return ControlReply(message="the credential is not this fleet's")
         command = self.handlers.get(request.command)
@@ -58,7 +58,7 @@
 
 
 def fleet_status(node: Node) -> dict:
-    """Return what a node knows of every VM, as plain values for operators."""
+    """Return a node's view of every VM as plain values for operators."""
     membership = node.membership
     digest = node.rumors.digest
     vms = []
--- a/packages/entry/plantainshed_entry/daemon.py
+++ b/packages/entry/plantainshed_entry/daemon.py
@@ -1,4 +1,4 @@
-"""The entry daemon: a node on real sockets."""
+"""The entry daemon, which runs a node on real sockets."""
 
 import contextlib
 import signal
@@ -33,7 +33,10 @@
 
 
 async def run_daemon(settings: Settings, stop: trio.Event, ready: trio.Event):
-    """Run a daemon until `stop` is set, then stop without cutting a request.
+    """Run a daemon until `stop` is set, then shut it down gracefully.
+
+    Running requests are completed; those that still run after `LEAVE_TIMEOUT_S`
+    are cancelled.
 
     Parameters
     ----------
@@ -74,14 +77,14 @@
 
 
 async def _drain_exchanges(stopping: Stopping, drained: trio.Event):
-    """Accept nothing more, and wait for the exchanges under way."""
+    """Stop accepting connections and wait for running exchanges to end."""
     stopping.set()
     await drained.wait()
 
 
 async def _stop_when_superseded(node: Node, stop: trio.Event):
     await node.membership.superseded.wait()
-    node.log.error("another run of this VM has replaced this one; stopping")
+    node.log.error("superseded by another process of this VM; stopping")
     stop.set()
 
 
@@ -93,7 +96,8 @@
     try:
         yield Context(
             settings=settings,
-            # Only an identity: no time is ever measured with the wall clock.
+            # The wall clock only sets the incarnation. All durations are
+            # measured with the monotonic clock.
             identity=Identity(
                 settings.vm, settings.failure_domain, time.time_ns() // 1_000_000
             ),
@@ -115,7 +119,7 @@
 
 @contextlib.contextmanager
 def _as_settings_error(option: str, address: str):
-    """Turn a socket that cannot be opened into a fault of the settings."""
+    """Raise `SettingsError` with the option's name if a socket cannot be opened."""
     try:
         yield
     except OSError as error:
@@ -123,7 +127,7 @@
 
 
 async def run_until_signalled(settings: Settings):
-    """Run a daemon until SIGTERM or SIGINT, then stop without cutting a request."""
+    """Run a daemon until SIGTERM or SIGINT, then shut it down gracefully."""
     stop, ready = trio.Event(), trio.Event()
     log = open_log(settings.vm, settings.log_level)
     with open_signals() as signals:
@@ -136,13 +140,14 @@
 async def _handle_signals(
     signals: AsyncIterator[int], stop: trio.Event, log: LoggerAdapter
 ):
-    """Act on signals, in whichever state they come, until cancelled."""
+    """Handle signals until cancelled, also during shutdown."""
     async for number in signals:
         if number == signal.SIGHUP:
-            log.warning("hangup ignored; settings are read at the start only")
+            log.warning("SIGHUP ignored; settings are only read at startup")
         elif stop.is_set():
-            # To hurry would cut requests that the stop under way lets run to
-            # their end; it may also have begun without a signal.
+            # A second signal must not speed up the shutdown, because that would
+            # cancel requests that are still being completed. The shutdown may
+            # also have started without a signal.
             log.info("stop requested again", extra={"signal": number})
         else:
             log.info("stop requested", extra={"signal": number})
--- a/packages/entry/plantainshed_entry/handlers.py
+++ b/packages/entry/plantainshed_entry/handlers.py
@@ -1,4 +1,4 @@
-"""The daemon's own paths, beside the ones that pools serve."""
+"""HTTP handlers of the daemon's own paths, such as look-ups and metrics."""
 
 from urllib.parse import parse_qs, urlsplit
 
@@ -18,12 +18,13 @@
 METRICS_PATH = "/metrics"
 JSON_TYPE = (b"content-type", b"application/json")
 TEXT_TYPE = (b"content-type", b"text/plain; version=0.0.4; charset=utf-8")
-# What a server's connection knows how to end with.
+# The HTTP server handles these errors itself: it answers with an error status or
+# closes the connection.
 CONNECTION_ERRORS = (BadMessage, CallerLeft, *SOCKET_ERRORS)
 
 
 class Handlers:
-    """Answers exchanges: own paths here, all others by the node."""
+    """Handles the daemon's own paths and passes all others to the node."""
 
     def __init__(self, node: Node):
         self.node = node
@@ -35,29 +36,30 @@
         }
 
     async def handle(self, exchange: Exchange):
-        """Answer one exchange; a fault of this program costs no other."""
+        """Answer one exchange; an internal error affects only this exchange."""
         try:
             await self._answer(exchange)
         except CONNECTION_ERRORS:
             raise
         except Exception:
-            # Let through, it would end the process and cut all that it serves.
+            # An internal error must not end the process, which would cut off all
+            # other requests.
             self.node.log.exception(
                 "internal error", extra={"path": exchange.request.target}
             )
             if exchange.started:
-                raise CallerLeft("the answer cannot be completed") from None
-            # A target may have run the request before the fault.
+                raise CallerLeft("the response cannot be completed") from None
+            # A target may have run the request before the error occurred.
             outcome = (OUTCOME_HEADER, Outcome.UNKNOWN.encode())
             await exchange.reply(502, [outcome], b"internal error\n")
 
     async def _answer(self, exchange: Exchange):
         path = exchange.request.target.partition("?")[0]
-        own = self.daemon_paths.get(path)
-        if own is None:
+        handler = self.daemon_paths.get(path)
+        if handler is None:
             await self.node.serving.serve(exchange)
         else:
-            await own(exchange)
+            await handler(exchange)
 
     async def _lookup(self, exchange: Exchange):
         query = parse_qs(urlsplit(exchange.request.target).query)
@@ -104,5 +106,5 @@
 
 
 def _strip_prefix_length(client: str) -> str:
-    """Return the address of a client given as an address or a block."""
+    """Return the address part of a client given as an address or a CIDR block."""
     return client.partition("/")[0]
--- a/tests/entry/test_signals.py
+++ b/tests/entry/test_signals.py
@@ -137,7 +137,7 @@
         async with running_process() as running:
             await self.call_during(running, signal.SIGHUP)
             self.assertIsNone(running.process.poll())
-            await running.until_said(b"settings are read at the start only")
+            await running.until_said(b"settings are only read at startup")
 
     @on_real_clock
     async def test_signals_while_stopping_cut_no_request(self):
