--- a/packages/entry/plantainshed_entry/__init__.py
+++ b/packages/entry/plantainshed_entry/__init__.py
@@ -1,8 +1,9 @@
 """The entry daemon.
 
-A caller asks `lookup` which VMs to use and sends its request to one of them.
-There `admission` tells whose it is and whether it is within its rate,
-`routing` picks targets with room, `attempts` decides what may be tried again,
-and `relay` carries the bytes. `node` joins these to the rest of the fleet and
-`daemon` puts them on sockets.
+A caller gets a list of entry VMs from `lookup` and sends its request to one of
+them. On that VM, `admission` authenticates the request and applies the
+workspace's rate limit, `routing` selects targets with free slots, `attempts`
+decides whether a failed attempt may be retried, and `relay` forwards the bytes.
+`node` connects these modules to the rest of the fleet, and `daemon` runs a node
+on real sockets.
 """
--- a/packages/entry/plantainshed_entry/__main__.py
+++ b/packages/entry/plantainshed_entry/__main__.py
@@ -5,8 +5,9 @@
 
 def main():
     """Run the command ``plantainshed-entry``."""
-    # The system ends a process for a hangup that comes before the daemon takes
-    # signals: while the modules below are loaded, and after its last line.
+    # By default, SIGHUP ends the process. Ignore it while the daemon's own signal
+    # handling is not active: while the modules below are imported, and after the
+    # daemon has stopped.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     from .cli import run_command
 
--- a/packages/entry/plantainshed_entry/cli.py
+++ b/packages/entry/plantainshed_entry/cli.py
@@ -21,7 +21,7 @@
     settings : str
         Path of an INI file.
     check : bool
-        Only say whether the file would start.
+        Check the settings file and exit without starting the daemon.
     """
     try:
         loaded = load_settings(settings)
--- a/packages/entry/plantainshed_entry/context.py
+++ b/packages/entry/plantainshed_entry/context.py
@@ -1,7 +1,7 @@
-"""What a daemon works with: its settings and its ways to the outside.
+"""Settings and external interfaces of a daemon, for dependency injection.
 
-One `Context` is made at the start and handed to the parts, instead of globals;
-tests hand in one with stand-ins.
+One `Context` is created at startup and passed to the components, which use no
+globals. Tests pass one with fakes.
 """
 
 import logging
@@ -18,16 +18,20 @@
 
 @define
 class Context:
-    """The surroundings of one daemon.
+    """Settings and external interfaces of one daemon.
 
     Parameters
     ----------
     settings : Settings
     identity : Identity
     platform : Platform
+        Access to the object store and the list of VMs.
     transport : Transport
+        Sends and receives datagrams between VMs.
     bulk : BulkSource
+        Fetches documents from other VMs.
     log : logging.LoggerAdapter
+    metrics : Metrics
     """
 
     settings: Settings
--- a/packages/entry/plantainshed_entry/errors.py
+++ b/packages/entry/plantainshed_entry/errors.py
@@ -4,16 +4,17 @@
 
 
 class EntryError(Exception):
-    """Base of the entry daemon's errors."""
+    """Base class of the entry daemon's errors."""
 
 
 class SettingsError(EntryError):
-    """The settings file is not usable; lists every fault.
+    """The settings are invalid; the error lists all faults.
 
     Parameters
     ----------
     faults : list of str
-        Each names section, option, value and what is allowed.
+        Descriptions that name the section, the option, its value and the
+        allowed values.
     """
 
     def __init__(self, faults):
@@ -22,17 +23,18 @@
 
 
 class Refusal(EntryError):
-    """A request that gets no answer from a target.
+    """The daemon refuses a request instead of returning a target's answer.
 
     Parameters
     ----------
     reason : Reason
     message : str
-        For the person who reads the answer.
+        Explanation for the person who reads the answer.
     outcome : Outcome
-        Whether the request can have run. `Outcome.NOT_RUN` is a promise.
+        Whether the request may have run. `Outcome.NOT_RUN` guarantees that it
+        has not run.
     retry_after_s : float, optional
-        When to come back.
+        Seconds after which the caller should retry.
     """
 
     def __init__(self, reason, message, outcome=Outcome.NOT_RUN, retry_after_s=None):
@@ -50,11 +52,11 @@
     ----------
     message : str
     outcome : Outcome
-        Whether the target can have run it.
+        Whether the target may have run the request.
     is_target_fault : bool
-        Whether it says something about the target's health.
+        Whether the failure counts against the target's health.
     crashed : bool
-        Whether the target went away while it ran the request.
+        Whether the target disconnected while it ran the request.
     """
 
     def __init__(self, message, outcome, is_target_fault=True, crashed=False):
--- a/packages/entry/plantainshed_entry/http_probe.py
+++ b/packages/entry/plantainshed_entry/http_probe.py
@@ -1,4 +1,4 @@
-"""A health check over HTTP."""
+"""Health checks over HTTP."""
 
 from plantainshed_http.client import fetch
 from plantainshed_http.errors import HttpError
@@ -9,7 +9,7 @@
 
 
 async def probe_over_http(state: TargetState) -> ProbeNews:
-    """Ask a target's health endpoint; a target that fails to answer is unhealthy."""
+    """Request a target's health endpoint; a failed request means unhealthy."""
     try:
         head, _ = await fetch(
             state.target.address,
--- a/packages/entry/plantainshed_entry/logs.py
+++ b/packages/entry/plantainshed_entry/logs.py
@@ -1,4 +1,4 @@
-"""Logs as JSON lines on standard error."""
+"""Logging in JSON lines to standard error."""
 
 import logging
 import sys
@@ -10,9 +10,9 @@
 
 
 def open_log(vm: str, level: str, stream=None) -> logging.LoggerAdapter:
-    """Return a logger whose lines bear the VM's name.
+    """Return a logger that adds the VM's name to each line.
 
-    No line ever bears a key; only the public key id is logged.
+    API keys are never logged, only their public key ids.
     """
     logger = logging.getLogger(f"{LOGGER_NAME}.{vm}")
     logger.setLevel(level.upper())
@@ -29,7 +29,7 @@
 
 
 class _MergingAdapter(logging.LoggerAdapter):
-    """Keeps the fields of a call beside those of the adapter."""
+    """Merges the fields of a log call with those of the adapter."""
 
     def process(self, msg, kwargs):
         kwargs["extra"] = {**self.extra, **kwargs.get("extra", {})}
--- a/packages/entry/plantainshed_entry/metrics.py
+++ b/packages/entry/plantainshed_entry/metrics.py
@@ -1,4 +1,4 @@
-"""What the daemon counts."""
+"""Prometheus metrics of the daemon."""
 
 from aioprometheus import Counter, Gauge, Histogram, Registry, render
 
@@ -51,15 +51,15 @@
         self.refusals.inc(labels)
 
     def count_retry(self, reason: RetryReason):
-        """Count a further attempt."""
+        """Count a retry."""
         self.retries.inc({"reason": reason})
 
     def count_answer(self, workspace: str, seconds: float):
-        """Count an answered request."""
+        """Count an answered request and record its latency."""
         self.requests.inc({"workspace": workspace})
         self.latency.observe({"workspace": workspace}, seconds)
 
     def text(self) -> bytes:
-        """Return all metrics in the text format of Prometheus."""
+        """Return all metrics in the Prometheus text format."""
         body, _ = render(self.registry, ["text/plain"])
         return body
--- a/packages/entry/plantainshed_entry/reasons.py
+++ b/packages/entry/plantainshed_entry/reasons.py
@@ -1,17 +1,17 @@
-"""Why requests are refused or tried again, and what a refusal says of them."""
+"""Reasons for refusals and retries, and the outcome that a refusal reports."""
 
 from enum import StrEnum
 
 
 class Outcome(StrEnum):
-    """Whether a refused request can have run."""
+    """Whether a refused request may have run on a target."""
 
     NOT_RUN = "not-run"
     UNKNOWN = "unknown"
 
 
 class Reason(StrEnum):
-    """Why a request was refused; each has a counter and an HTTP status."""
+    """Why a request was refused; each reason has a counter and an HTTP status."""
 
     UNKNOWN_PATH = "unknown_path"
     BAD_REQUEST = "bad_request"
--- a/packages/entry/plantainshed_entry/settings.py
+++ b/packages/entry/plantainshed_entry/settings.py
@@ -1,4 +1,4 @@
-"""Settings of one entry daemon, read from an INI file and checked as a whole."""
+"""Settings of the entry daemon, read from an INI file and validated."""
 
 import configparser
 from pathlib import Path
@@ -25,7 +25,7 @@
 
 @frozen
 class Seed:
-    """A VM that may be running, from the settings.
+    """A VM to contact at startup, which may or may not be running.
 
     Parameters
     ----------
@@ -42,7 +42,7 @@
 
 @frozen
 class Settings:
-    """What a daemon has to know before it can ask anybody.
+    """Settings that a daemon needs before it can contact other processes.
 
     Parameters
     ----------
@@ -58,9 +58,10 @@
     platform : str
         ``IP:PORT`` of the platform's object store.
     seeds : tuple of Seed
-        VMs to greet before the platform's list is known.
+        VMs to contact before the platform's list of VMs is known.
     fleet_secret : bytes
-        Shared by all VMs to authenticate datagrams; empty for none.
+        Secret shared by all VMs to authenticate datagrams and operators'
+        commands; empty for none.
     log_level : str
     """
 
@@ -76,7 +77,7 @@
 
 
 def load_settings(path: str) -> Settings:
-    """Read a settings file, or raise `SettingsError` with every fault."""
+    """Read a settings file; raise `SettingsError` with all faults found."""
     try:
         text = Path(path).read_text()
     except OSError as error:
@@ -85,7 +86,7 @@
 
 
 def parse_settings(text: str) -> Settings:
-    """Read settings from INI text, or raise `SettingsError`."""
+    """Parse settings from INI text; raise `SettingsError` with all faults found."""
     parser = configparser.ConfigParser(interpolation=None)
     try:
         parser.read_string(text)
@@ -132,7 +133,7 @@
     for section, options in REQUIRED_OPTIONS.items():
         for option in options:
             if not parser.get(section, option, fallback="").strip():
-                yield f"[{section}] {option}: missing; it must be set"
+                yield f"[{section}] {option}: missing; this option is required"
 
 
 def _invalid_values(parser):
--- a/packages/entry/plantainshed_entry/status.py
+++ b/packages/entry/plantainshed_entry/status.py
@@ -4,7 +4,7 @@
 
 
 class ExitCode(IntEnum):
-    """What a command's end tells the shell."""
+    """Exit codes that the commands return to the shell."""
 
     OK = 0
     FAILED = 1
