--- a/tests/entry/test_daemon.py
+++ b/tests/entry/test_daemon.py
@@ -1,4 +1,4 @@
-"""The daemon on real sockets: one VM, a platform, a target."""
+"""The entry daemon on real sockets, with one VM, a platform and one target."""
 
 import contextlib
 import unittest
@@ -42,8 +42,8 @@
     )
 
 
-class Running:
-    """A daemon, its target and its callers' address."""
+class RunningDaemon:
+    """A running daemon, its address for callers and its target."""
 
     def __init__(self, address: str, target: TargetServer, stop: trio.Event):
         self.address = address
@@ -57,7 +57,7 @@
 
 @contextlib.asynccontextmanager
 async def running_daemon(handler=None, **pool):
-    """Run a daemon with one target for the length of a block."""
+    """Run a daemon with one target while the context is open."""
     memory = MemoryPlatform()
     target = TargetServer("t-1", slots=4, service_time_s=0.01)
     async with (
@@ -78,12 +78,12 @@
         )
         stop = trio.Event()
         nursery.start_soon(run_daemon, settings, stop, trio.Event())
-        await _wait_until_served(settings.listen)
-        yield Running(settings.listen, target, stop)
+        await _wait_until_ready(settings.listen)
+        yield RunningDaemon(settings.listen, target, stop)
         nursery.cancel_scope.cancel()
 
 
-async def _wait_until_served(address: str):
+async def _wait_until_ready(address: str):
     key = (b"authorization", b"Bearer " + KEY.text.encode())
     while True:
         await trio.sleep(0.05)
@@ -95,7 +95,7 @@
 
 class TestDaemon(unittest.TestCase):
     @on_real_clock
-    async def test_answers_without_showing_the_key(self):
+    async def test_key_is_not_forwarded_to_the_target(self):
         async with running_daemon() as running:
             head, body = await running.call("POST", body=b"seats=1")
             self.assertEqual(head.status, 200)
@@ -103,8 +103,8 @@
             self.assertEqual(running.target.keys_seen, 0)
 
     @on_real_clock
-    async def test_target_cannot_be_told_another_workspace(self):
-        """A caller names another workspace and the target believes it."""
+    async def test_workspace_header_of_a_caller_is_replaced(self):
+        """A caller's own workspace header must not reach the target."""
         seen = []
 
         async def target(exchange):
@@ -119,7 +119,7 @@
             self.assertEqual(values, [b"comune"])
 
     @on_real_clock
-    async def test_refusals_say_reason_and_outcome(self):
+    async def test_refusals_contain_reason_and_outcome(self):
         async with running_daemon() as running:
             head, body = await fetch(running.address, "GET", "/prenota/1")
             self.assertEqual(head.status, 401)
@@ -146,29 +146,29 @@
             self.assertEqual(running.target.runs[prefix + "n1"], 1)
 
     @on_real_clock
-    async def test_broken_booking_is_unknown_and_not_sent_again(self):
-        """A family gets two chairs.
+    async def test_post_with_unknown_outcome_is_not_retried(self):
+        """A POST whose connection breaks must not be sent again.
 
-        The target takes the booking and breaks off before it answers; a
-        second attempt would book again.
+        The target accepts the booking and closes the connection before it
+        answers. A second attempt would book twice.
         """
         runs = []
 
-        async def breaks(exchange):
+        async def break_connection(exchange):
             if exchange.request.method != "POST":
                 await exchange.reply(200, [])
                 return
             runs.append(await exchange.read_body(100))
             raise trio.BrokenResourceError
 
-        async with running_daemon(breaks) as running:
+        async with running_daemon(break_connection) as running:
             head, body = await running.call("POST", body=b"x")
             self.assertEqual(head.status, 502)
             self.assertEqual(orjson.loads(body)["outcome"], "unknown")
             self.assertEqual(len(runs), 1)
 
     @on_real_clock
-    async def test_large_bodies_stream_both_ways(self):
+    async def test_large_bodies_are_streamed_in_both_directions(self):
         async def echo(exchange):
             await exchange.start(200, [(b"transfer-encoding", b"chunked")])
             async for chunk in exchange.body():
@@ -182,7 +182,7 @@
             self.assertEqual(answer, body)
 
     async def send_and_read(self, address, body):
-        """Send a body while the answer to it already comes back."""
+        """Send a body and read the answer at the same time."""
         headers = [
             (b"host", b"a"),
             (b"authorization", b"Bearer " + KEY.text.encode()),
@@ -200,7 +200,7 @@
                 return await connection.read_response()
 
     @on_real_clock
-    async def test_deadline_reaches_the_target_and_ends_the_request(self):
+    async def test_deadline_is_forwarded_and_enforced(self):
         left = []
 
         async def slow(exchange):
@@ -219,7 +219,7 @@
             self.assertLessEqual(left[0], 300)
 
     @on_real_clock
-    async def test_planned_stop_cuts_no_request(self):
+    async def test_running_request_is_completed_on_shutdown(self):
         async def slow(exchange):
             await trio.sleep(0.01 if "ready" in exchange.request.target else 1.0)
             await exchange.reply(200, [], b"whole")
@@ -237,11 +237,12 @@
             self.assertEqual(answers[0][1], b"whole")
 
     @on_real_clock
-    async def test_request_at_the_last_moment_is_not_cut(self):
-        """Every replaced VM costs a request or two.
+    async def test_late_request_is_answered_on_shutdown(self):
+        """Requests that arrive at the end of a shutdown must be answered.
 
-        A request comes on a kept connection after the VM has seen that none
-        is running, while it hands over its parts, and the process ends.
+        Each replaced VM used to cut off a request or two: they arrived on a
+        keep-alive connection after the VM had found no running requests, while
+        it was releasing its budget parts, and the process then ended.
         """
         async with running_daemon() as running:
             stopped_answering = False
@@ -254,7 +255,7 @@
                     stopped_answering = head.header(b"connection") == "close"
 
     @on_real_clock
-    async def test_head_request_has_no_body(self):
+    async def test_answer_to_head_has_no_body(self):
         async with running_daemon() as running, connected(running.address, 2) as c:
             key = (b"authorization", b"Bearer " + KEY.text.encode())
             head, body = await c.request("HEAD", "/prenota/1", [key])
@@ -278,7 +279,7 @@
             self.assertEqual(head.status, 200)
 
     @on_real_clock
-    async def test_own_pages(self):
+    async def test_paths_of_the_daemon(self):
         async with running_daemon() as running:
             await running.call()
             head, body = await fetch(running.address, "GET", "/metrics")
--- a/tests/entry/test_escape_of_a_probe.py
+++ b/tests/entry/test_escape_of_a_probe.py
@@ -1,4 +1,4 @@
-"""What a target says to a health check must not end the entry daemon."""
+"""Load headers of targets, whose invalid values must not end the entry daemon."""
 
 import unittest
 from types import SimpleNamespace
@@ -10,11 +10,11 @@
 from tests.http_support import serving
 from tests.support import on_real_clock
 
-NO_LOADS = (
+INVALID_LOADS = (
     *("", ".", "x", "-1", "+1", "1e3", "1.2.3", "1 0", "nan", "inf", "1\n"),
     *("\xb2", "1\xb2", "\xb9.5", "\xbd", "9" * 5000),
 )
-LOADS = (("0", 0.0), ("3", 3.0), ("0.5", 0.5), (".5", 0.5), ("2.", 2.0))
+VALID_LOADS = (("0", 0.0), ("3", 3.0), ("0.5", 0.5), (".5", 0.5), ("2.", 2.0))
 
 
 def head_with(load: str) -> ResponseHead:
@@ -22,23 +22,27 @@
 
 
 class TestReportedLoad(unittest.TestCase):
-    def test_a_number(self):
-        for text, load in LOADS:
+    def test_valid_number(self):
+        for text, load in VALID_LOADS:
             with self.subTest(text=text):
                 self.assertEqual(reported_load(head_with(text)), load)
 
-    def test_what_is_no_number_counts_as_no_report(self):
-        for text in NO_LOADS:
+    def test_invalid_or_missing_number(self):
+        for text in INVALID_LOADS:
             with self.subTest(text=text[:30]):
                 self.assertIsNone(reported_load(head_with(text)))
         self.assertIsNone(reported_load(ResponseHead(200, [])))
 
 
-class TestLoadThatIsNoNumber(unittest.TestCase):
-    """`Probing.run` awaits the probe in a nursery of the node's."""
+class TestInvalidLoadHeader(unittest.TestCase):
+    """An invalid load header must not raise an error.
+
+    `Probing.run` runs probes in a nursery of the node, so that an error in a
+    probe would end the daemon.
+    """
 
     @on_real_clock
-    async def test_a_digit_that_is_no_number(self):
+    async def test_superscript_digit_in_a_probe(self):
         async def target(exchange):
             await exchange.reply(200, [(LOAD_HEADER, b"\xb2")], b"")
 
@@ -47,12 +51,12 @@
                 target=SimpleNamespace(address=address),
                 pool=SimpleNamespace(probe_path="/ready"),
             )
-            news = await probe_over_http(state)
-        self.assertTrue(news.healthy)
-        self.assertEqual(news.load, 0.0)
+            result = await probe_over_http(state)
+        self.assertTrue(result.healthy)
+        self.assertEqual(result.load, 0.0)
 
     @on_real_clock
-    async def test_in_an_answer_to_a_caller(self):
+    async def test_superscript_digit_in_an_answer(self):
         async def target(exchange):
             await exchange.reply(200, [(LOAD_HEADER, b"\xb2")], b"whole")
 
--- a/tests/entry/test_escapes.py
+++ b/tests/entry/test_escapes.py
@@ -1,4 +1,4 @@
-"""What one caller must not be able to end the entry daemon with."""
+"""Requests of one caller that must not end the entry daemon."""
 
 import unittest
 
@@ -9,41 +9,46 @@
 from tests.support import on_real_clock
 
 
-class TestRequestsThatEndTheProcess(unittest.TestCase):
-    """One caller's odd request cuts the requests of all others."""
+class TestMalformedRequests(unittest.TestCase):
+    """A malformed request must not cut off other callers' requests.
+
+    The requests of these tests used to end the process.
+    """
 
     @on_real_clock
-    async def test_head_with_a_target_that_is_refused(self):
-        await self.cuts_no_other(b"HEAD * HTTP/1.1\r\nhost: x\r\n\r\n")
+    async def test_head_with_an_invalid_target(self):
+        await self.check_other_requests_unaffected(
+            b"HEAD * HTTP/1.1\r\nhost: x\r\n\r\n"
+        )
 
     @on_real_clock
-    async def test_head_whose_caller_leaves_in_its_body(self):
-        await self.cuts_no_other(
+    async def test_head_whose_caller_disconnects_during_the_body(self):
+        await self.check_other_requests_unaffected(
             b"HEAD /prenota/1 HTTP/1.1\r\nhost: x\r\ncontent-length: 5\r\n"
             b"authorization: Bearer " + KEY.text.encode() + b"\r\n\r\n12"
         )
 
     @on_real_clock
-    async def test_request_without_a_host(self):
-        await self.cuts_no_other(
+    async def test_request_without_a_host_header(self):
+        await self.check_other_requests_unaffected(
             b"GET /prenota/1 HTTP/1.0\r\n"
             b"authorization: Bearer " + KEY.text.encode() + b"\r\n\r\n"
         )
 
     @on_real_clock
-    async def test_deadline_that_is_a_digit_and_no_number(self):
-        await self.cuts_no_other(
+    async def test_timeout_header_with_a_superscript_digit(self):
+        await self.check_other_requests_unaffected(
             b"GET /prenota/1 HTTP/1.1\r\nhost: x\r\nrequest-timeout-ms: \xb2\r\n"
             b"authorization: Bearer " + KEY.text.encode() + b"\r\n\r\n"
         )
 
     @on_real_clock
-    async def test_lookup_for_what_is_no_address(self):
-        await self.cuts_no_other(
+    async def test_lookup_for_an_invalid_address(self):
+        await self.check_other_requests_unaffected(
             b"GET /plantainshed/lookup?client=x&pool=y HTTP/1.1\r\nhost: x\r\n\r\n"
         )
 
-    async def cuts_no_other(self, data: bytes):
+    async def check_other_requests_unaffected(self, data: bytes):
         async with running_process() as running:
             answers = []
 
--- a/tests/entry/test_internal_errors.py
+++ b/tests/entry/test_internal_errors.py
@@ -1,4 +1,4 @@
-"""A fault of the entry daemon's own costs one request, not all of them."""
+"""An internal error of the entry daemon must affect only one request."""
 
 import contextlib
 import unittest
@@ -19,41 +19,41 @@
 
 class TestInternalErrors(unittest.TestCase):
     @on_real_clock
-    async def test_before_anything_was_sent(self):
+    async def test_error_before_the_answer(self):
         fault = mock.patch.object(Admission, "spend_rate", side_effect=KeyError("x"))
-        async with self.cuts_no_other(fault) as running:
+        async with self.other_requests_unaffected(fault) as running:
             head, body = await running.call(path="/prenota/2")
         self.assertEqual((head.status, body), (502, b"internal error\n"))
         self.assertEqual(head.header(b"plantainshed-outcome"), "unknown")
 
     @on_real_clock
-    async def test_on_an_own_path(self):
+    async def test_error_on_a_path_of_the_daemon(self):
         fault = mock.patch.object(Handlers, "_set_gauges", side_effect=KeyError("x"))
-        async with self.cuts_no_other(fault) as running:
+        async with self.other_requests_unaffected(fault) as running:
             head, _ = await fetch(running.address, "GET", "/metrics")
         self.assertEqual(head.status, 502)
 
     @on_real_clock
-    async def test_in_the_middle_of_an_answer(self):
-        async def answer_half(relay, call, state, connection, head):
+    async def test_error_during_the_answer(self):
+        async def send_half(relay, call, state, connection, head):
             await call.exchange.start(200, [(b"content-length", b"10")])
             await call.exchange.send(b"half")
             raise KeyError("x")
 
-        fault = mock.patch.object(HttpRelay, "_answer", answer_half)
-        async with self.cuts_no_other(fault) as running:
+        fault = mock.patch.object(HttpRelay, "_answer", send_half)
+        async with self.other_requests_unaffected(fault) as running:
             with self.assertRaises(ConnectionBroken):
                 await running.call(path="/prenota/2")
 
     @contextlib.asynccontextmanager
-    async def cuts_no_other(self, fault):
-        """Serve another caller while the block meets a fault."""
-        arrived, met, answers = trio.Event(), trio.Event(), []
+    async def other_requests_unaffected(self, fault):
+        """Check that another caller is served while the block causes an error."""
+        arrived, error_raised, answers = trio.Event(), trio.Event(), []
 
         async def target(exchange):
             if exchange.request.target == "/prenota/1":
                 arrived.set()
-                await met.wait()
+                await error_raised.wait()
             await exchange.reply(200, [], b"whole")
 
         async with running_daemon(target) as running:
@@ -66,7 +66,7 @@
                 await arrived.wait()
                 with self.assertLogs(LOGGER, "ERROR") as logs, fault:
                     yield running
-                met.set()
+                error_raised.set()
             self.assertEqual(answers[0][1], b"whole")
             self.assertEqual((await running.call())[1], b"whole")
         self.assertEqual([r.getMessage() for r in logs.records], ["internal error"])
--- a/tests/entry/test_settings.py
+++ b/tests/entry/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings of an entry daemon."""
+"""Settings of the entry daemon."""
 
 import unittest
 from pathlib import Path
@@ -21,12 +21,12 @@
 
 
 class TestSettings(unittest.TestCase):
-    def test_examples_can_be_used(self):
+    def test_examples_are_valid(self):
         for path in ("cerimonia/mil-a-1.ini", "maracas-bay/pos-laventille-1.ini"):
             settings = load_settings(str(EXAMPLES / path))
             self.assertTrue(settings.seeds)
 
-    def test_names_every_fault_at_once(self):
+    def test_all_faults_are_reported_together(self):
         text = GOOD.replace("name = mil-a-1", "name = Mil A")
         text = text.replace("127.0.0.1:8100", "localhost")
         text += "[log]\nlevel = loud\n[extra]\nx = 1\n[fleet]\nseeds =\n    one\n"
@@ -42,7 +42,7 @@
         ):
             self.assertIn(expected, faults)
 
-    def test_missing_options_are_named(self):
+    def test_missing_options_are_reported(self):
         with self.assertRaises(SettingsError) as caught:
             parse_settings("[vm]\nname = a\n")
         self.assertIn("[platform] address: missing", str(caught.exception))
--- a/tests/entry/test_signals.py
+++ b/tests/entry/test_signals.py
@@ -1,4 +1,4 @@
-"""The entry daemon as a process of its own, and the signals that it gets."""
+"""Signal handling of the entry daemon, which runs in a separate process."""
 
 import contextlib
 import signal
@@ -26,8 +26,8 @@
 from tests.support import on_real_clock
 
 PROGRAM = ("-m", "plantainshed_entry")
-# Runs the program, which gets a signal when it imports the module of a name.
-SIGNALLED_AT_IMPORT = """
+# Runs the daemon and raises SIGHUP while it imports `trio`.
+SIGHUP_DURING_IMPORT = """
 import runpy, signal, sys
 
 class Signalling:
@@ -57,8 +57,8 @@
     return SETTINGS.format(listen=listen, peer=peer, control=control, platform=platform)
 
 
-class Process:
-    """A running daemon and its callers' address."""
+class DaemonProcess:
+    """A running daemon process and its address for callers."""
 
     def __init__(self, process, address: str):
         self.process = process
@@ -73,7 +73,7 @@
         key = (b"authorization", b"Bearer " + KEY.text.encode())
         return await fetch(self.address, "POST", path, [key], timeout_s=10.0)
 
-    async def until_served(self):
+    async def wait_until_ready(self):
         with trio.fail_after(20):
             while True:
                 if self.process.poll() is not None:
@@ -83,7 +83,7 @@
                         return
                 await trio.sleep(0.05)
 
-    async def until_said(self, text: bytes):
+    async def wait_for_output(self, text: bytes):
         with trio.fail_after(20):
             while text not in self.output:
                 await trio.sleep(0.02)
@@ -91,7 +91,7 @@
 
 @contextlib.asynccontextmanager
 async def running_process(program=PROGRAM):
-    """Run the program with one target, whose calls take a second."""
+    """Run the daemon with one target that takes one second to answer."""
 
     async def target(exchange):
         await trio.sleep(0.01 if "ready" in exchange.request.target else CALL_S)
@@ -111,11 +111,11 @@
         process = await trio.lowlevel.open_process(
             [sys.executable, *program, str(settings)], stderr=subprocess.PIPE
         )
-        running = Process(process, parse_settings(text).listen)
+        running = DaemonProcess(process, parse_settings(text).listen)
         try:
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(running.read_output)
-                await running.until_served()
+                await running.wait_until_ready()
                 yield running
                 nursery.cancel_scope.cancel()
         finally:
@@ -125,31 +125,33 @@
 
 
 class TestSignals(unittest.TestCase):
-    """The entry daemon gets a signal that is not the first request to stop.
+    """SIGHUP and repeated stop signals must not cut off requests.
 
-    A hangup ended it at once, whenever it came, with status -1, and cut all
-    requests that it served; a further request to stop did so while it drained.
-    The daemon took SIGTERM and SIGINT only, and the second of these was to hurry.
+    The daemon used to handle only SIGTERM and SIGINT. SIGHUP ended it at once
+    with status -1 and cut off all requests. A second stop signal did the same
+    during shutdown, because it was meant to speed up the shutdown.
     """
 
     @on_real_clock
-    async def test_hangup_cuts_no_request(self):
+    async def test_sighup_does_not_cut_off_requests(self):
         async with running_process() as running:
-            await self.call_during(running, signal.SIGHUP)
+            await self.send_signals_during_call(running, signal.SIGHUP)
             self.assertIsNone(running.process.poll())
-            await running.until_said(b"settings are only read at startup")
+            await running.wait_for_output(b"settings are only read at startup")
 
     @on_real_clock
-    async def test_signals_while_stopping_cut_no_request(self):
+    async def test_signals_during_shutdown_do_not_cut_off_requests(self):
         async with running_process() as running:
             stop, hangup = signal.SIGTERM, signal.SIGHUP
-            await self.call_during(running, stop, hangup, stop, signal.SIGINT)
-            await running.until_said(b"stopped")
+            await self.send_signals_during_call(
+                running, stop, hangup, stop, signal.SIGINT
+            )
+            await running.wait_for_output(b"stopped")
             self.assertEqual(await running.process.wait(), 0)
 
     @on_real_clock
-    async def test_request_to_stop_repeated_until_the_end_is_no_failure(self):
-        """A supervisor that asks until the process is gone sees a failed stop."""
+    async def test_sigterm_repeated_until_the_end_gives_exit_status_0(self):
+        """The exit status is 0 even if a supervisor repeats SIGTERM until the end."""
         async with running_process() as running:
             with trio.fail_after(20):
                 while running.process.poll() is None:
@@ -158,11 +160,11 @@
             self.assertEqual(running.process.returncode, 0)
 
     @on_real_clock
-    async def test_hangup_ends_no_start(self):
-        async with running_process(("-c", SIGNALLED_AT_IMPORT)) as running:
+    async def test_sighup_during_import_is_ignored(self):
+        async with running_process(("-c", SIGHUP_DURING_IMPORT)) as running:
             self.assertEqual((await running.call())[0].status, 200)
 
-    async def call_during(self, running, *signals: int):
+    async def send_signals_during_call(self, running, *signals: int):
         answers = []
 
         async def call():
@@ -177,28 +179,29 @@
         self.assertEqual(answers[0][1], b"whole")
 
 
-class TestStopThatBeganWithoutASignal(unittest.TestCase):
+class TestShutdownWithoutSignal(unittest.TestCase):
     @on_real_clock
-    async def test_request_to_stop_does_not_end_it(self):
-        """A VM that another run has replaced is told to stop, and cuts requests.
+    async def test_later_stop_signal_does_not_cancel_it(self):
+        """A signal must not cancel a shutdown that started without one.
 
-        It had begun to stop by itself when it heard of the other run. The first
-        signal then counted as the second, which was to hurry: the daemon was
-        cancelled in the middle of its stop.
+        A superseded VM shuts down by itself. The first signal after that used
+        to count as the second one, which was meant to speed up the shutdown:
+        the daemon was cancelled in the middle of it and cut off requests.
         """
-        ended = []
+        completed = []
 
-        async def stops_by_itself(settings, stop, ready):
+        async def shut_down_by_itself(settings, stop, ready):
             stop.set()
             await trio.sleep(0.05)
             signal.raise_signal(signal.SIGTERM)
             await trio.sleep(0.05)
-            ended.append("as planned")
+            completed.append("as planned")
 
         for number in STOP_SIGNALS:
-            # The run leaves them ignored, for its process is about to end.
+            # `run_until_signalled` leaves these signals ignored, because its
+            # process normally ends afterwards.
             self.addCleanup(signal.signal, number, signal.getsignal(number))
         text = make_settings_text(free_address()) + "[log]\nlevel = error\n"
-        with mock.patch("plantainshed_entry.daemon.run_daemon", stops_by_itself):
+        with mock.patch("plantainshed_entry.daemon.run_daemon", shut_down_by_itself):
             await run_until_signalled(parse_settings(text))
-        self.assertEqual(ended, ["as planned"])
+        self.assertEqual(completed, ["as planned"])
