--- a/packages/entry/plantainshed_entry/attempts.py
+++ b/packages/entry/plantainshed_entry/attempts.py
@@ -113,7 +113,7 @@
             self.poison.note_crash(
                 call.fingerprint, state.target.name, isolated=is_suspect
             )
-        if failure.blames_target:
+        if failure.is_target_fault:
             self.targets.note_failure(state.target.name)
             if failure.outcome is Outcome.NOT_RUN:
                 self.targets.note_connect_refused(state.target.name)
@@ -131,7 +131,7 @@
         if failure.outcome is Outcome.NOT_RUN:
             reason = (
                 RetryReason.CONNECT_FAILED
-                if failure.blames_target
+                if failure.is_target_fault
                 else RetryReason.SHED
             )
         elif call.is_idempotent:
@@ -144,5 +144,5 @@
 
 
 def _refusal_for(failure: AttemptFailed) -> Refusal:
-    reason = Reason.TARGET_FAILED if failure.blames_target else Reason.NO_ROOM
+    reason = Reason.TARGET_FAILED if failure.is_target_fault else Reason.NO_ROOM
     return Refusal(reason, str(failure), failure.outcome, FAILED_RETRY_AFTER_S)
--- a/packages/entry/plantainshed_entry/daemon.py
+++ b/packages/entry/plantainshed_entry/daemon.py
@@ -1,4 +1,4 @@
-"""The entry daemon: a node on real sockets."""
+"""The entry daemon, which runs a node on real sockets."""
 
 import contextlib
 import signal
@@ -33,7 +33,10 @@
 
 
 async def run_daemon(settings: Settings, stop: trio.Event, ready: trio.Event):
-    """Run a daemon until `stop` is set, then stop without cutting a request.
+    """Run a daemon until `stop` is set, then shut it down gracefully.
+
+    Running requests are completed; those that still run after `LEAVE_TIMEOUT_S`
+    are cancelled.
 
     Parameters
     ----------
@@ -46,52 +49,55 @@
         node = Node(context, relay.run, probe_over_http)
         relay.vm_count = lambda: len(node.membership.records())
         commands = Commands(node, settings.fleet_secret)
-        stopping, closed = Stopping(), trio.Event()
+        stopping, drained = Stopping(), trio.Event()
         listeners = await _listen(settings.listen)
         async with (
             serve_control(settings.control, node.follower.value, commands.handle),
             trio.open_nursery() as nursery,
         ):
             nursery.start_soon(node.run)
-            nursery.start_soon(_serve, node, listeners, stopping, closed)
+            nursery.start_soon(_serve, node, listeners, stopping, drained)
             nursery.start_soon(_stop_when_superseded, node, stop)
             ready.set()
             await stop.wait()
-            await node.leave(partial(_close, stopping, closed), LEAVE_TIMEOUT_S)
+            await node.leave(
+                partial(_drain_exchanges, stopping, drained), LEAVE_TIMEOUT_S
+            )
             nursery.cancel_scope.cancel()
         context.log.info("stopped")
 
 
-async def _serve(node: Node, listeners, stopping: Stopping, closed: trio.Event):
+async def _serve(node: Node, listeners, stopping: Stopping, drained: trio.Event):
 
     def report(error: Exception):
         node.log.error("internal error", exc_info=error)
 
     await serve_http(Handlers(node).handle, listeners, stopping, report=report)
-    closed.set()
+    drained.set()
 
 
-async def _close(stopping: Stopping, closed: trio.Event):
-    """Accept nothing more, and wait for the exchanges under way."""
+async def _drain_exchanges(stopping: Stopping, drained: trio.Event):
+    """Stop accepting connections and wait for running exchanges to end."""
     stopping.set()
-    await closed.wait()
+    await drained.wait()
 
 
 async def _stop_when_superseded(node: Node, stop: trio.Event):
     await node.membership.superseded.wait()
-    node.log.error("another run of this VM has replaced this one; stopping")
+    node.log.error("superseded by another process of this VM; stopping")
     stop.set()
 
 
 @contextlib.asynccontextmanager
 async def _open_context(settings: Settings):
-    with _naming_option("peer", settings.peer):
+    with _as_settings_error("peer", settings.peer):
         transport = await DatagramTransport.open(settings.peer, settings.fleet_secret)
     bulk = ControlClient()
     try:
         yield Context(
             settings=settings,
-            # Only an identity: no time is ever measured with the wall clock.
+            # The wall clock only sets the incarnation. All durations are
+            # measured with the monotonic clock.
             identity=Identity(
                 settings.vm, settings.failure_domain, time.time_ns() // 1_000_000
             ),
@@ -107,13 +113,13 @@
 
 async def _listen(address: str) -> list[trio.SocketListener]:
     host, port = split_address(address)
-    with _naming_option("listen", address):
+    with _as_settings_error("listen", address):
         return await trio.open_tcp_listeners(port, host=host, backlog=BACKLOG)
 
 
 @contextlib.contextmanager
-def _naming_option(option: str, address: str):
-    """Turn a socket that cannot be opened into a fault of the settings."""
+def _as_settings_error(option: str, address: str):
+    """Raise `SettingsError` with the option's name if a socket cannot be opened."""
     try:
         yield
     except OSError as error:
@@ -121,24 +127,27 @@
 
 
 async def run_until_signalled(settings: Settings):
-    """Run a daemon until SIGTERM or SIGINT, then stop without cutting a request."""
+    """Run a daemon until SIGTERM or SIGINT, then shut it down gracefully."""
     stop, ready = trio.Event(), trio.Event()
     log = open_log(settings.vm, settings.log_level)
     with open_signals() as signals:
         async with open_plain_nursery() as nursery:
-            nursery.start_soon(_obey, signals, stop, log)
+            nursery.start_soon(_handle_signals, signals, stop, log)
             await run_daemon(settings, stop, ready)
             nursery.cancel_scope.cancel()
 
 
-async def _obey(signals: AsyncIterator[int], stop: trio.Event, log: LoggerAdapter):
-    """Act on signals, in whichever state they come, until cancelled."""
+async def _handle_signals(
+    signals: AsyncIterator[int], stop: trio.Event, log: LoggerAdapter
+):
+    """Handle signals until cancelled, also during shutdown."""
     async for number in signals:
         if number == signal.SIGHUP:
-            log.warning("hangup ignored; settings are read at the start only")
+            log.warning("SIGHUP ignored; settings are only read at startup")
         elif stop.is_set():
-            # To hurry would cut requests that the stop under way lets run to
-            # their end; it may also have begun without a signal.
+            # A second signal must not speed up the shutdown, because that would
+            # cancel requests that are still being completed. The shutdown may
+            # also have started without a signal.
             log.info("stop requested again", extra={"signal": number})
         else:
             log.info("stop requested", extra={"signal": number})
--- a/packages/entry/plantainshed_entry/handlers.py
+++ b/packages/entry/plantainshed_entry/handlers.py
@@ -1,4 +1,4 @@
-"""The daemon's own paths, beside the ones that pools serve."""
+"""HTTP handlers of the daemon's own paths, such as look-ups and metrics."""
 
 from urllib.parse import parse_qs, urlsplit
 
@@ -18,16 +18,17 @@
 METRICS_PATH = "/metrics"
 JSON_TYPE = (b"content-type", b"application/json")
 TEXT_TYPE = (b"content-type", b"text/plain; version=0.0.4; charset=utf-8")
-# What a server's connection knows how to end with.
-ENDS_OF_A_CONNECTION = (BadMessage, CallerDisconnected, *SOCKET_ERRORS)
+# The HTTP server handles these errors itself: it answers with an error status or
+# closes the connection.
+CONNECTION_ERRORS = (BadMessage, CallerDisconnected, *SOCKET_ERRORS)
 
 
 class Handlers:
-    """Answers exchanges: own paths here, all others by the node."""
+    """Handles the daemon's own paths and passes all others to the node."""
 
     def __init__(self, node: Node):
         self.node = node
-        self.own_paths = {
+        self.daemon_paths = {
             LOOKUP_PATH: self._lookup,
             HEALTH_PATH: self._health,
             READY_PATH: self._ready,
@@ -35,29 +36,30 @@
         }
 
     async def handle(self, exchange: Exchange):
-        """Answer one exchange; a fault of this program costs no other."""
+        """Answer one exchange; an internal error affects only this exchange."""
         try:
             await self._answer(exchange)
-        except ENDS_OF_A_CONNECTION:
+        except CONNECTION_ERRORS:
             raise
         except Exception:
-            # Let through, it would end the process and cut all that it serves.
+            # An internal error must not end the process, which would cut off all
+            # other requests.
             self.node.log.exception(
                 "internal error", extra={"path": exchange.request.target}
             )
             if exchange.started:
-                raise CallerDisconnected("the answer cannot be completed") from None
-            # A target may have run the request before the fault.
+                raise CallerDisconnected("the response cannot be completed") from None
+            # A target may have run the request before the error occurred.
             outcome = (OUTCOME_HEADER, Outcome.UNKNOWN.encode())
             await exchange.reply(502, [outcome], b"internal error\n")
 
     async def _answer(self, exchange: Exchange):
         path = exchange.request.target.partition("?")[0]
-        own = self.own_paths.get(path)
-        if own is None:
+        handler = self.daemon_paths.get(path)
+        if handler is None:
             await self.node.serving.serve(exchange)
         else:
-            await own(exchange)
+            await handler(exchange)
 
     async def _lookup(self, exchange: Exchange):
         query = parse_qs(urlsplit(exchange.request.target).query)
@@ -65,7 +67,7 @@
         pool = query.get("pool", [""])[0]
         self.node.context.metrics.lookups.inc({"pool": pool})
         try:
-            answer = self.node.lookup.answer(_address_in(client), pool)
+            answer = self.node.lookup.answer(_strip_prefix_length(client), pool)
         except Refusal as refusal:
             body = {"reason": refusal.reason, "message": refusal.message}
             await exchange.reply(
@@ -103,6 +105,6 @@
             node.context.metrics.gauges.set({"what": name}, value)
 
 
-def _address_in(client: str) -> str:
-    """Return the address of a client given as an address or a block."""
+def _strip_prefix_length(client: str) -> str:
+    """Return the address part of a client given as an address or a CIDR block."""
     return client.partition("/")[0]
--- a/packages/entry/plantainshed_entry/lookup.py
+++ b/packages/entry/plantainshed_entry/lookup.py
@@ -1,8 +1,8 @@
-"""Look-ups: which entry VMs a caller is to use.
+"""Look-ups, which tell a caller the entry VMs to use.
 
-Blocks are spread over `BUCKETS` buckets by hash, and an answer is worked out
-once for each pool, home domain and bucket until something that it rests on
-changes: with 210,000 blocks nearly every look-up finds it ready.
+Client blocks are hashed into `BUCKETS` buckets. Answers are cached by pool, home
+domain and bucket until the cache is cleared, once a second and with each new
+document. Even with 210,000 blocks, nearly every look-up hits the cache.
 """
 
 import orjson
@@ -13,28 +13,28 @@
 from plantainshed_coordination.operations import operation_prefix
 
 from .errors import Refusal
-from .in_force import InForce
+from .in_force import IndexedDocument
 from .reasons import Reason
 from .steering import Steering
 
 TTL_S = 5
-MOST_ENTRIES = 4
+MAX_ENTRIES = 4
 BUCKETS = 512
 BUCKET_SHIFT = 32 - 9
-SPREADING_FACTOR = 2_654_435_761
+HASH_MULTIPLIER = 2_654_435_761  # Knuth's multiplicative hash
 MAX_UINT32 = 0xFFFF_FFFF
 NO_BLOCK_BUCKET = 0
 
 
 @frozen
 class Entry:
-    """An entry VM in an answer, best first.
+    """One entry VM in the answer to a look-up.
 
     Parameters
     ----------
     vm, address, failure_domain : str
     operation_prefix : str
-        What a caller puts before a nonce of its own to make an operation id.
+        Prefix of operation ids. A caller appends its own nonce.
     """
 
     vm: str
@@ -50,8 +50,9 @@
     Parameters
     ----------
     entries : tuple of Entry
+        Entry VMs to use, best first.
     ttl_s : int
-        How long a caller may keep the answer, in seconds.
+        How long a caller may cache the answer, in seconds.
     document_version : int
     """
 
@@ -84,29 +85,30 @@
 
     Attributes
     ----------
-    in_force : InForce
+    in_force : IndexedDocument
+        Document in force.
     """
 
     def __init__(self, membership: Membership, steering: Steering):
         self.membership = membership
         self.steering = steering
-        self.in_force: InForce | None = None
+        self.in_force: IndexedDocument | None = None
         self._cached: dict[tuple[str, str, int], LookupAnswer] = {}
 
     def answer(self, client: str, pool: str) -> LookupAnswer:
-        """Return the VMs for a client, or raise `Refusal`."""
-        home, bucket = self.home_of(client)
+        """Return the entry VMs for a client, or raise `Refusal`."""
+        home, bucket = self.locate_client(client)
         key = (pool, home, bucket)
         cached = self._cached.get(key)
         if cached is None:
-            cached = self._cached[key] = self._work_out(pool, home, bucket)
+            cached = self._cached[key] = self._compute_answer(pool, home, bucket)
         return cached
 
-    def forget(self):
-        """Drop answers that were kept: something that they rest on changed."""
+    def clear_cache(self):
+        """Drop all cached answers, because their inputs may have changed."""
         self._cached.clear()
 
-    def _work_out(self, pool: str, home: str, bucket: int) -> LookupAnswer:
+    def _compute_answer(self, pool: str, home: str, bucket: int) -> LookupAnswer:
         block = str(bucket)
         records = {record.vm: record for record in self.membership.records()}
         entries = []
@@ -117,20 +119,20 @@
                 entries.append(
                     Entry(vm, record.listen, domain, operation_prefix(record))
                 )
-            if len(entries) >= MOST_ENTRIES:
+            if len(entries) >= MAX_ENTRIES:
                 break
         if not entries:
             raise Refusal(
                 Reason.NOT_READY, "no entry VM takes callers now", retry_after_s=1.0
             )
         return LookupAnswer(
-            tuple(entries[:MOST_ENTRIES]), TTL_S, self.in_force.revision.version
+            tuple(entries[:MAX_ENTRIES]), TTL_S, self.in_force.revision.version
         )
 
-    def home_of(self, client: str) -> tuple[str, int]:
-        """Return the failure domain near a client, and the bucket of its block.
+    def locate_client(self, client: str) -> tuple[str, int]:
+        """Return the failure domain nearest to a client and its block's bucket.
 
-        A client in no block is taken to be near this VM.
+        A client outside all blocks is assigned to this VM's failure domain.
         """
         try:
             match = self.in_force.blocks.find(client)
@@ -140,5 +142,5 @@
             ) from None
         if match is None:
             return self.membership.identity.failure_domain, NO_BLOCK_BUCKET
-        bucket = (match.index * SPREADING_FACTOR & MAX_UINT32) >> BUCKET_SHIFT
+        bucket = (match.index * HASH_MULTIPLIER & MAX_UINT32) >> BUCKET_SHIFT
         return match.failure_domain, bucket
--- a/packages/entry/plantainshed_entry/serving.py
+++ b/packages/entry/plantainshed_entry/serving.py
@@ -1,7 +1,8 @@
-"""A caller's request from its head to its answer.
+"""Serving of callers' requests.
 
-`Serving.serve` reads like the story: whose is it, may it run, has it run
-before, which target answers it, and what the caller is told if none does.
+`Serving.serve` authenticates a request, applies the workspace's rate limit,
+deduplicates operations and forwards the request to a target. If one of these
+steps fails, it answers with a refusal.
 """
 
 import re
@@ -26,8 +27,8 @@
 from .call import Call
 from .context import Context
 from .errors import Refusal
-from .facts import Facts
-from .in_force import InForce
+from .facts import RunStatistics
+from .in_force import IndexedDocument
 from .loads import LoadTracker
 from .lookup import Lookup
 from .poison import compute_fingerprint
@@ -41,9 +42,9 @@
 REPEAT_HEADER = b"plantainshed-repeat"
 BUFFERED_BODY_BYTES = 64 * 1024
 MAX_TIMEOUT_MS = 3_600_000
-# Stricter than `isdigit`, which is also true of digits that `int` raises on, and
-# short enough for it: an error there would end the process.
-MILLISECONDS = re.compile(r"[0-9]{1,20}")
+# `str.isdigit` also accepts digits that `int` rejects, such as superscripts, and
+# `int` rejects very long numbers. The ValueError would end the process.
+TIMEOUT_MS_PATTERN = re.compile(r"[0-9]{1,20}")
 REQUEST_ID_BYTES = 8
 IN_PROGRESS_RETRY_AFTER_S = 1.0
 
@@ -53,9 +54,10 @@
 
     Attributes
     ----------
-    in_force : InForce
+    in_force : IndexedDocument
+        Document in force.
     calls : dict of str to Call
-        Requests that are running or waiting here, by request id.
+        Requests that are running or queued on this VM, by request id.
     """
 
     def __init__(
@@ -67,7 +69,7 @@
         operations: OperationRegistry,
         loads: LoadTracker,
         lookup: Lookup,
-        facts: Facts,
+        statistics: RunStatistics,
     ):
         self.log = context.log
         self.metrics = context.metrics
@@ -77,17 +79,17 @@
         self.operations = operations
         self.loads = loads
         self.lookup = lookup
-        self.facts = facts
-        self.in_force: InForce | None = None
+        self.statistics = statistics
+        self.in_force: IndexedDocument | None = None
         self.calls: dict[str, Call] = {}
 
     @property
     def in_flight(self) -> int:
-        """Number of requests that are running or waiting here."""
+        """Number of requests that are running or queued on this VM."""
         return len(self.calls)
 
     async def serve(self, exchange: Exchange):
-        """Answer one request, by a target or by a refusal."""
+        """Answer one request with a target's response or with a refusal."""
         call = None
         try:
             self._require_awake()
@@ -98,12 +100,12 @@
             await self._refuse(exchange, call, refusal)
 
     def _require_awake(self):
-        # A process that was paused would go on with parts of limits and with
-        # keys as it knew them; see `Membership.is_awake`.
+        # After a pause, this process's budget parts and withdrawn keys may be
+        # out of date; see `Membership.is_awake`.
         if not self.membership.is_awake():
             raise Refusal(
                 Reason.NOT_READY,
-                "this VM was paused and is finding out what it missed",
+                "this VM was paused and is refreshing its data",
                 retry_after_s=1.0,
             )
 
@@ -120,14 +122,14 @@
             workspace=admitted.workspace.name,
             key_id=admitted.key_id,
             pool=pool,
-            home_domain=self.lookup.home_of(exchange.caller)[0],
-            deadline=trio.current_time() + _timeout_s(head, pool),
-            operation=_operation_of(head),
+            home_domain=self.lookup.locate_client(exchange.caller)[0],
+            deadline=trio.current_time() + _parse_timeout_s(head, pool),
+            operation=_parse_operation_id(head),
             exchange=exchange,
         )
         self.loads.count_arrival(pool.name, call.home_domain)
         await self.admission.spend_rate(admitted.workspace)
-        if _is_small(head):
+        if _fits_in_buffer(head):
             call.body = await exchange.read_body(BUFFERED_BODY_BYTES)
         call.fingerprint = compute_fingerprint(
             call.workspace, call.method, call.path, call.body
@@ -135,40 +137,43 @@
         return call
 
     def _registered(self, call: Call):
-        return _Registered(self.calls, call)
+        return _CallRegistration(self.calls, call)
 
     async def _run_within_deadline(self, call: Call):
         call.cancel_scope = trio.CancelScope(deadline=call.deadline)
         with call.cancel_scope:
             if self.admission.is_withdrawn(call.key_id):
-                # Withdrawn while the request waited for its rate.
+                # The key was withdrawn while the request waited for a rate token.
                 call.cancel_scope.cancel()
             if call.body is None:
-                await self._run_once(call)
+                await self._run_at_most_once(call)
             else:
                 async with call.exchange.cancel_on_caller_disconnect():
-                    await self._run_once(call)
+                    await self._run_at_most_once(call)
             return
-        self._explain_cancel(call)
+        self._refuse_cancelled(call)
 
-    def _explain_cancel(self, call: Call):
-        """Raise the refusal for a request whose scope was cancelled."""
+    def _refuse_cancelled(self, call: Call):
+        """Raise the refusal for a request whose cancel scope was cancelled."""
         outcome = Outcome.UNKNOWN if call.attempts else Outcome.NOT_RUN
-        # A withdrawal cuts requests that run or wait under the key.
+        # Withdrawing a key cancels its requests, both running and queued.
         if self.admission.is_withdrawn(call.key_id):
             raise Refusal(
                 Reason.KEY_WITHDRAWN, f"the key {call.key_id} was withdrawn", outcome
             )
         raise Refusal(Reason.DEADLINE, "the deadline has passed", outcome)
 
-    async def _run_once(self, call: Call):
-        """Run a request, an operation at most once."""
+    async def _run_at_most_once(self, call: Call):
+        """Run a request; run an operation with an operation id at most once.
+
+        Idempotent methods are not deduplicated.
+        """
         if call.operation is None or call.is_idempotent:
             await self._run(call)
             return
         claim = await self.operations.claim(call.operation)
         if claim.verdict is not Verdict.RUN:
-            await self._answer_repeat(call, claim)
+            await self._answer_repeated_operation(call, claim)
             return
         await self._run_claimed(call)
 
@@ -186,8 +191,9 @@
                 if did_not_run:
                     await self.operations.release(call.operation)
                 else:
-                    # Without a complete answer nobody knows whether it ran. It
-                    # stays claimed, so that a repeat is told so and not run.
+                    # Without a complete answer, the outcome is unknown. The
+                    # operation stays claimed, so that a repeat is refused with
+                    # an unknown outcome instead of being run again.
                     answer = recorder.to_bytes() if recorder.is_complete else None
                     await self.operations.finish(call.operation, answer)
 
@@ -195,9 +201,9 @@
         await self.attempts.run(call)
         seconds = trio.current_time() - call.began_at
         self.metrics.count_answer(call.workspace, seconds)
-        self.facts.answered[call.workspace] += 1
+        self.statistics.answered[call.workspace] += 1
 
-    async def _answer_repeat(self, call: Call, claim):
+    async def _answer_repeated_operation(self, call: Call, claim):
         if claim.verdict is Verdict.DONE and claim.answer:
             recorded = RecordedAnswer.from_bytes(claim.answer)
             headers = [*recorded.headers, (REPEAT_HEADER, b"1")]
@@ -206,30 +212,36 @@
         if claim.verdict is Verdict.IN_PROGRESS:
             raise Refusal(
                 Reason.OPERATION_IN_PROGRESS,
-                f"operation {call.operation} is running; ask for it again",
+                f"operation {call.operation} is still running; retry later",
                 Outcome.UNKNOWN,
                 IN_PROGRESS_RETRY_AFTER_S,
             )
         raise Refusal(
             Reason.OPERATION_UNKNOWN,
-            f"operation {call.operation} was begun, or can have been, and what "
-            "became of it is not known here; it was not run again",
+            f"operation {call.operation} may have been started and its outcome "
+            "is unknown; it was not run again",
             Outcome.UNKNOWN,
         )
 
-    def cancel_key(self, key_id: str) -> int:
-        """Cut what runs or waits under a withdrawn key; return how many."""
-        cut = 0
+    def cancel_calls_with_key(self, key_id: str) -> int:
+        """Cancel all requests that use a withdrawn key.
+
+        Returns
+        -------
+        int
+            Number of cancelled requests.
+        """
+        cancelled = 0
         for call in list(self.calls.values()):
             if call.key_id == key_id and call.cancel_scope is not None:
                 call.cancel_scope.cancel()
-                cut += 1
-        return cut
+                cancelled += 1
+        return cancelled
 
     async def _refuse(self, exchange: Exchange, call: Call | None, refusal: Refusal):
         workspace = call.workspace if call else ""
         self.metrics.count_refusal(refusal.reason, refusal.outcome, workspace)
-        self.facts.refused[refusal.reason, refusal.outcome, workspace] += 1
+        self.statistics.refused[refusal.reason, refusal.outcome, workspace] += 1
         self.log.info(
             "refused",
             extra={
@@ -241,16 +253,16 @@
             },
         )
         if exchange.started:
-            # Part of an answer has gone out; only breaking off shows the
-            # caller that the rest is missing.
+            # Part of the answer was already sent. Only closing the connection
+            # tells the caller that the answer is incomplete.
             raise trio.BrokenResourceError
         await exchange.reply(
             STATUS[refusal.reason], _refusal_headers(refusal), _refusal_body(refusal)
         )
 
 
-class _Registered:
-    """Keeps a call in the table of calls for the length of a block."""
+class _CallRegistration:
+    """Context manager that keeps a call in the table of running calls."""
 
     def __init__(self, calls: dict[str, Call], call: Call):
         self.calls = calls
@@ -263,11 +275,11 @@
         del self.calls[self.call.request_id]
 
 
-def _timeout_s(head: RequestHead, pool: Pool) -> float:
+def _parse_timeout_s(head: RequestHead, pool: Pool) -> float:
     text = head.header(DEADLINE_HEADER)
     if text is None:
         return pool.timeout_s
-    if not MILLISECONDS.fullmatch(text) or not 0 < int(text) <= MAX_TIMEOUT_MS:
+    if not TIMEOUT_MS_PATTERN.fullmatch(text) or not 0 < int(text) <= MAX_TIMEOUT_MS:
         raise Refusal(
             Reason.BAD_REQUEST,
             f"request-timeout-ms: {text!r} must be 1 to {MAX_TIMEOUT_MS} milliseconds",
@@ -275,7 +287,7 @@
     return min(pool.timeout_s, int(text) / 1000)
 
 
-def _operation_of(head: RequestHead) -> OperationId | None:
+def _parse_operation_id(head: RequestHead) -> OperationId | None:
     text = head.header(OPERATION_HEADER)
     if text is None:
         return None
@@ -285,7 +297,7 @@
         raise Refusal(Reason.BAD_REQUEST, f"operation-id: {error}") from error
 
 
-def _is_small(head: RequestHead) -> bool:
+def _fits_in_buffer(head: RequestHead) -> bool:
     length = head.header(b"content-length")
     if length is not None:
         return int(length) <= BUFFERED_BODY_BYTES
--- a/packages/entry/plantainshed_entry/settings.py
+++ b/packages/entry/plantainshed_entry/settings.py
@@ -1,4 +1,4 @@
-"""Settings of one entry daemon, read from an INI file and checked as a whole."""
+"""Settings of the entry daemon, read from an INI file and validated."""
 
 import configparser
 from pathlib import Path
@@ -15,7 +15,7 @@
     "fleet": {"seeds", "secret_file"},
     "log": {"level"},
 }
-REQUIRED = {
+REQUIRED_OPTIONS = {
     "vm": ("name", "failure_domain", "listen", "peer", "control"),
     "platform": ("address",),
 }
@@ -25,7 +25,7 @@
 
 @frozen
 class Seed:
-    """A VM that may be running, from the settings.
+    """A VM to contact at startup, which may or may not be running.
 
     Parameters
     ----------
@@ -42,7 +42,7 @@
 
 @frozen
 class Settings:
-    """What a daemon has to know before it can ask anybody.
+    """Settings that a daemon needs before it can contact other processes.
 
     Parameters
     ----------
@@ -58,9 +58,10 @@
     platform : str
         ``IP:PORT`` of the platform's object store.
     seeds : tuple of Seed
-        VMs to greet before the platform's list is known.
+        VMs to contact before the platform's list of VMs is known.
     fleet_secret : bytes
-        Shared by all VMs to authenticate datagrams; empty for none.
+        Secret shared by all VMs to authenticate datagrams and operators'
+        commands; empty for none.
     log_level : str
     """
 
@@ -76,7 +77,7 @@
 
 
 def load_settings(path: str) -> Settings:
-    """Read a settings file, or raise `SettingsError` with every fault."""
+    """Read a settings file; raise `SettingsError` with all faults found."""
     try:
         text = Path(path).read_text()
     except OSError as error:
@@ -85,7 +86,7 @@
 
 
 def parse_settings(text: str) -> Settings:
-    """Read settings from INI text, or raise `SettingsError`."""
+    """Parse settings from INI text; raise `SettingsError` with all faults found."""
     parser = configparser.ConfigParser(interpolation=None)
     try:
         parser.read_string(text)
@@ -94,7 +95,7 @@
     faults = [
         *_unknown_options(parser),
         *_missing_options(parser),
-        *_wrong_values(parser),
+        *_invalid_values(parser),
     ]
     if faults:
         raise SettingsError(faults)
@@ -129,17 +130,19 @@
 
 
 def _missing_options(parser):
-    for section, options in REQUIRED.items():
+    for section, options in REQUIRED_OPTIONS.items():
         for option in options:
             if not parser.get(section, option, fallback="").strip():
-                yield f"[{section}] {option}: missing; it must be set"
+                yield f"[{section}] {option}: missing; this option is required"
 
 
-def _wrong_values(parser):
+def _invalid_values(parser):
     for option in ("name", "failure_domain"):
         value = parser.get("vm", option, fallback="")
         if not set(value) <= NAME_CHARACTERS:
-            yield _fault("vm", option, value, "lower-case letters, digits and '-_.'")
+            yield _format_fault(
+                "vm", option, value, "lower-case letters, digits and '-_.'"
+            )
     for section, option in (
         ("vm", "listen"),
         ("vm", "peer"),
@@ -148,20 +151,24 @@
     ):
         value = parser.get(section, option, fallback="")
         if value and not is_address(value):
-            yield _fault(section, option, value, "IP:PORT, such as 10.0.0.1:8080")
+            yield _format_fault(
+                section, option, value, "IP:PORT, such as 10.0.0.1:8080"
+            )
     level = parser.get("log", "level", fallback="info")
     if level not in LOG_LEVELS:
-        yield _fault("log", "level", level, "one of " + ", ".join(LOG_LEVELS))
+        yield _format_fault("log", "level", level, "one of " + ", ".join(LOG_LEVELS))
     for line in _seed_lines(parser):
         parts = line.split()
         if len(parts) != 3 or not is_address(parts[2]):
-            yield _fault("fleet", "seeds", line, "lines of VM FAILURE_DOMAIN IP:PORT")
+            yield _format_fault(
+                "fleet", "seeds", line, "lines of VM FAILURE_DOMAIN IP:PORT"
+            )
     secret_file = parser.get("fleet", "secret_file", fallback="")
     if secret_file and not Path(secret_file).is_file():
-        yield _fault("fleet", "secret_file", secret_file, "the path of a file")
+        yield _format_fault("fleet", "secret_file", secret_file, "the path of a file")
 
 
-def _fault(section, option, value, allowed):
+def _format_fault(section, option, value, allowed):
     return f"[{section}] {option} = {value!r}: must be {allowed}"
 
 
--- a/packages/entry/plantainshed_entry/steering.py
+++ b/packages/entry/plantainshed_entry/steering.py
@@ -7,7 +7,7 @@
 from plantainshed_coordination.membership import Membership
 from plantainshed_model.document import DrainKind, Pool, ShiftState
 
-from .in_force import InForce
+from .in_force import IndexedDocument
 from .loads import DomainLoad, LoadTracker
 from .plan import PlannedDomain, PlannedShift, Shares, plan_pool, step_towards_plan
 from .targets import TargetTable
@@ -22,7 +22,7 @@
 
     Attributes
     ----------
-    in_force : InForce
+    in_force : IndexedDocument
     shares : dict of str to Shares
         Current plan, by pool.
     """
@@ -33,7 +33,7 @@
         self.membership = membership
         self.targets = targets
         self.loads = loads
-        self.in_force: InForce | None = None
+        self.in_force: IndexedDocument | None = None
         self.shares: dict[str, Shares] = {}
 
     async def run(self):
--- a/packages/entry/plantainshed_entry/targets.py
+++ b/packages/entry/plantainshed_entry/targets.py
@@ -15,7 +15,7 @@
 from plantainshed_coordination.holdings import Holdings
 from plantainshed_model.document import Drain, DrainKind, Pool, Target
 
-from .in_force import SLOTS_PREFIX, InForce
+from .in_force import SLOTS_PREFIX, IndexedDocument
 
 FAILURES_TO_EJECT = 3
 INITIAL_EJECTION_S = 5.0
@@ -221,7 +221,7 @@
         self._by_pool: dict[str, list[TargetState]] = {}
         self._is_first_document = True
 
-    def update_document(self, in_force: InForce):
+    def update_document(self, in_force: IndexedDocument):
         """Update the targets when a new document comes into force."""
         document = in_force.document
         states = {}
