--- a/tests/platform/platform_support.py
+++ b/tests/platform/platform_support.py
@@ -1,4 +1,4 @@
-"""A gateway on loopback with stand-ins of the platform's store and targets."""
+"""Runs a gateway on loopback with stand-ins of the platform's store and targets."""
 
 import contextlib
 import io
@@ -29,8 +29,8 @@
 _REQUEST_NUMBERS = itertools.count()
 
 
-def route(name="read", prefix="/read/", service="calendario", **more) -> dict:
-    """Return a route as the operator writes it."""
+def route(name="read", prefix="/read/", service="calendario", **overrides) -> dict:
+    """Return a route in the operator's format."""
     return {
         "name": name,
         "prefix": prefix,
@@ -43,12 +43,12 @@
         "public": False,
         "sticky": True,
         "homeRegions": [],
-        **more,
+        **overrides,
     }
 
 
-def configuration(version=7, paths=None, **more) -> dict:
-    """Return a configuration as the operator writes it."""
+def configuration(version=7, paths=None, **overrides) -> dict:
+    """Return a configuration in the operator's format."""
     service = {"healthPath": "/health", "maxConns": 390, "protocol": "h1"}
     service |= {"tls": False, "warmup": "3s", "warmupPerS": 15.0}
     return {
@@ -75,12 +75,12 @@
                 ],
             }
         ],
-        **more,
+        **overrides,
     }
 
 
-def entry(target: TargetStandin, **more) -> dict:
-    """Return a target's entry as it registers itself."""
+def entry(target: TargetStandin, **overrides) -> dict:
+    """Return the entry with which a target registers itself."""
     return {
         "service": "calendario",
         "addr": target.address,
@@ -91,13 +91,13 @@
         "warmupLeft": "0ms",
         "seq": 4,
         "born": 1796000000000,
-        **more,
+        **overrides,
     }
 
 
 @define
-class Path:
-    """A whole path on loopback."""
+class LoopbackSystem:
+    """A running gateway on loopback with its store and targets."""
 
     store: StoreStandin
     targets: list[TargetStandin]
@@ -120,24 +120,24 @@
         return await send(self.address, method, path, sent, body)
 
     async def connect(self):
-        """Open a plain connection to the gateway."""
+        """Open a TCP connection to the gateway."""
         host, _, port = self.address.rpartition(":")
         return await trio.open_tcp_stream(host, int(port))
 
     async def until(self, condition):
-        """Wait until something holds."""
+        """Wait until a condition is true."""
         with trio.fail_after(10):
             while not condition():
                 await trio.sleep(0.01)
 
     def lines(self, event: str) -> list[dict]:
-        """Return the log's lines of one kind."""
+        """Return the log lines with one message."""
         lines = [orjson.loads(line) for line in self.log.getvalue().splitlines()]
         return [line for line in lines if line["message"] == event]
 
 
 async def send(address, method, path, headers, body=b""):
-    """Send one request with exactly these headers."""
+    """Send one request with the given headers; add `Content-Length` for a body."""
     async with connected(address, 5) as connection:
         sent = [(k.encode(), v.encode()) for k, v in headers.items()]
         if body:
@@ -151,7 +151,7 @@
 
 
 def make_settings(store: str, vm="edge-mil-a-1", port=0, callers="") -> Settings:
-    """Return settings of a VM on loopback."""
+    """Return the settings of a VM on loopback."""
     return Settings(
         vm=vm,
         failure_domain="mil-a",
@@ -167,42 +167,42 @@
 
 
 @contextlib.asynccontextmanager
-async def running_path(target_count=2, first_configuration=None, **target_more):
-    """Run a whole path; yields it once the gateway is ready."""
+async def running_system(target_count=2, first_configuration=None, **target_options):
+    """Run a gateway, a store and targets; yield them once the gateway is ready."""
     store = StoreStandin()
-    targets = [TargetStandin(f"i-{n}", **target_more) for n in range(target_count)]
+    targets = [TargetStandin(f"i-{n}", **target_options) for n in range(target_count)]
     async with contextlib.AsyncExitStack() as stack:
         store_address = await stack.enter_async_context(running_store(store))
         for target in targets:
             await stack.enter_async_context(running_target(target))
             store.put("servers", target.instance, entry(target))
         store.put("config", "main", first_configuration or configuration())
-        path = await stack.enter_async_context(
+        system = await stack.enter_async_context(
             running_gateway(store, targets, store_address)
         )
-        yield path
+        yield system
 
 
 @contextlib.asynccontextmanager
 async def running_gateway(store, targets, store_address, wait=True):
-    """Run one gateway against a store."""
+    """Run one gateway that uses the given store."""
     listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
     address = f"127.0.0.1:{listeners[0].socket.getsockname()[1]}"
     settings = make_settings(store_address, callers=address)
     stream = io.StringIO()
     log = DecisionLog(settings.vm, settings.failure_domain, stream)
-    surroundings = PlatformAdapter(
+    adapter = PlatformAdapter(
         PlatformWire(), PlatformDecoder(), ObjectStore(store_address)
     )
-    gateway = Gateway(Context(settings, surroundings, log, 1))
+    gateway = Gateway(Context(settings, adapter, log, 1))
     with log.writing():
         async with trio.open_nursery() as nursery:
             nursery.start_soon(gateway.run)
             nursery.start_soon(
                 serve_http, gateway.serving.serve, listeners, Stopping(), gateway.limits
             )
-            path = Path(store, targets, gateway, address, stream)
+            system = LoopbackSystem(store, targets, gateway, address, stream)
             if wait:
-                await path.until(lambda: gateway.state is VmState.READY)
-            yield path
+                await system.until(lambda: gateway.state is VmState.READY)
+            yield system
             nursery.cancel_scope.cancel()
--- a/tests/platform/test_whole_path.py
+++ b/tests/platform/test_whole_path.py
@@ -13,7 +13,7 @@
     entry,
     route,
     running_gateway,
-    running_path,
+    running_system,
     send,
 )
 from tests.platform.store_standin import StoreStandin, running_store
@@ -23,11 +23,11 @@
 
 class TestServing(unittest.TestCase):
     @on_real_clock
-    async def test_answer_comes_back_whole_and_unchanged(self):
-        async with running_path() as path:
-            status, headers, body = await path.ask("/read/1?day=3", x_trace="kept")
+    async def test_answer_is_passed_on_unchanged(self):
+        async with running_system() as system:
+            status, headers, body = await system.ask("/read/1?day=3", x_trace="kept")
             self.assertEqual((status, body), (200, b"the target's bytes"))
-            run = next(t.runs[0] for t in path.targets if t.runs)
+            run = next(t.runs[0] for t in system.targets if t.runs)
             self.assertEqual(run.path, "/read/1?day=3")
             self.assertEqual(run.headers["x-trace"], "kept")
             self.assertEqual(run.headers["tenant"], "comune")
@@ -36,12 +36,12 @@
             self.assertLessEqual(int(run.headers["deadline-ms"]), 1380)
 
     @on_real_clock
-    async def test_body_arrives_whole_with_a_length_or_in_chunks(self):
-        async with running_path() as path:
-            await path.ask("/book/1", "POST", body=b"x" * 9000)
-            runs = [run for target in path.targets for run in target.runs]
+    async def test_body_with_a_length_or_in_chunks_arrives_complete(self):
+        async with running_system() as system:
+            await system.ask("/book/1", "POST", body=b"x" * 9000)
+            runs = [run for target in system.targets for run in target.runs]
             self.assertEqual(runs[0].body, b"x" * 9000)
-            stream = await path.connect()
+            stream = await system.connect()
             await stream.send_all(
                 b"POST /book/2 HTTP/1.1\r\nHost: %s\r\nRequest-Id: chunked\r\n"
                 b"Authorization: Bearer %s\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -49,54 +49,55 @@
             )
             answer = await stream.receive_some(4096)
             self.assertIn(b"200", answer.split(b"\r\n")[0])
-            runs = [run for target in path.targets for run in target.runs]
+            runs = [run for target in system.targets for run in target.runs]
             self.assertIn(b"abcde", [run.body for run in runs])
 
     @on_real_clock
     async def test_same_object_goes_to_same_target(self):
-        async with running_path(4) as path:
+        async with running_system(4) as system:
             for _ in range(6):
-                await path.ask(affinity_key="42")
+                await system.ask(affinity_key="42")
             self.assertEqual(
-                sorted(len(target.runs) for target in path.targets), [0, 0, 0, 6]
+                sorted(len(target.runs) for target in system.targets), [0, 0, 0, 6]
             )
 
     @on_real_clock
-    async def test_what_the_configuration_does_not_allow_is_refused(self):
-        async with running_path() as path:
-            self.assertEqual((await path.ask("/none/1"))[0], 404)
-            self.assertEqual((await path.ask(key="wrong"))[0], 401)
-            self.assertEqual((await path.ask(key=None))[0], 401)
-            self.assertEqual((await path.ask("/open/1", key=None))[0], 200)
+    async def test_unknown_route_and_invalid_key_are_refused(self):
+        async with running_system() as system:
+            self.assertEqual((await system.ask("/none/1"))[0], 404)
+            self.assertEqual((await system.ask(key="wrong"))[0], 401)
+            self.assertEqual((await system.ask(key=None))[0], 401)
+            self.assertEqual((await system.ask("/open/1", key=None))[0], 200)
 
     @on_real_clock
     async def test_caller_cannot_name_its_workspace(self):
-        async with running_path() as path:
-            await path.ask(tenant="somebody-else")
-            run = next(t.runs[0] for t in path.targets if t.runs)
+        async with running_system() as system:
+            await system.ask(tenant="somebody-else")
+            run = next(t.runs[0] for t in system.targets if t.runs)
             self.assertEqual(run.headers["tenant"], "comune")
 
 
 class TestStart(unittest.TestCase):
     @on_real_clock
     async def test_503_until_a_configuration_is_known(self):
-        """All VMs start at once before the operator has written anything.
+        """Callers get 503 with `Retry-After` while no configuration exists.
 
-        Callers get 503 with a time to come back. A 404 or 401 would be final,
-        for a route and a key that are there a moment later.
+        All VMs may start before the operator has written a configuration. Callers
+        would take a 404 or 401 as final, although the route and the key may exist
+        a moment later.
         """
         store = StoreStandin()
         async with (
             running_store(store) as address,
-            running_gateway(store, [], address, wait=False) as path,
+            running_gateway(store, [], address, wait=False) as system,
         ):
-            status, headers, _ = await path.ask()
+            status, headers, _ = await system.ask()
             self.assertEqual(status, 503)
             self.assertGreater(float(headers["retry-after"]), 0)
 
     @on_real_clock
     async def test_request_waits_for_a_vm_that_has_just_started(self):
-        """Guards against a refusal a moment before the VM can serve."""
+        """Guards against refusing a request just before the VM can serve."""
         store, target = StoreStandin(), TargetStandin("i-0")
         async with (
             running_store(store) as address,
@@ -105,173 +106,175 @@
         ):
             store.put("servers", target.instance, entry(target))
             store.put("config", "main", configuration())
-            path = await stack.enter_async_context(
+            system = await stack.enter_async_context(
                 running_gateway(store, [target], address, wait=False)
             )
-            self.assertFalse(path.gateway.serving.is_ready.is_set())
-            status, _, _ = await path.ask("/book/1", "POST", body=b"whole")
+            self.assertFalse(system.gateway.serving.is_ready.is_set())
+            status, _, _ = await system.ask("/book/1", "POST", body=b"whole")
             self.assertEqual(status, 200)
             self.assertEqual(target.runs[0].body, b"whole")
 
     @on_real_clock
-    async def test_targets_known_since_long_take_requests_after_a_restart(self):
-        """All VMs are killed; their targets live on.
+    async def test_targets_registered_long_ago_get_requests_after_a_restart(self):
+        """Guards against 502 responses after all VMs restart and their targets do not.
 
-        Callers got 502 for each request to a target that was there when the
-        VM started: the age of its ramp was infinite, and counting the ramp's
-        steps raised an OverflowError.
+        The age of a target's warm-up ramp was infinite if the target was
+        registered when the VM started. Counting the ramp's steps raised an
+        OverflowError, so every request to such a target got 502.
         """
-        async with running_path(3) as path:
+        async with running_system(3) as system:
             for number in range(9):
-                status, _, _ = await path.ask(affinity_key=str(number))
+                status, _, _ = await system.ask(affinity_key=str(number))
                 self.assertEqual(status, 200)
-            self.assertEqual(path.lines("internal error"), [])
+            self.assertEqual(system.lines("internal error"), [])
 
 
-class TestSpoiltAnswers(unittest.TestCase):
+class TestFaultyAnswers(unittest.TestCase):
     @on_real_clock
-    async def test_extra_answer_is_not_taken_for_ours(self):
-        """A target sends an answer twice; the second comes late.
+    async def test_answer_to_another_request_is_discarded(self):
+        """A target sends an answer twice, and the second copy arrives late.
 
-        The next caller on that connection would get another request's bytes.
-        The id in the answer tells; ours follows on the same connection.
+        The next caller on that connection would get another request's answer.
+        The request id in the answer shows the mismatch; the right answer follows
+        on the same connection.
         """
-        async with running_path(1) as path:
-            path.targets[0].spoils = ["extra"]
-            status, _, body = await path.ask("/book/1", "POST")
+        async with running_system(1) as system:
+            system.targets[0].spoils = ["extra"]
+            status, _, body = await system.ask("/book/1", "POST")
             self.assertEqual((status, body), (200, b"the target's bytes"))
-            self.assertEqual(len(path.targets[0].runs), 1)
+            self.assertEqual(len(system.targets[0].runs), 1)
 
     @on_real_clock
     async def test_bytes_after_an_answer_reach_no_caller(self):
-        async with running_path(1) as path:
-            path.targets[0].spoils = ["after", "", ""]
+        async with running_system(1) as system:
+            system.targets[0].spoils = ["after", "", ""]
             for _ in range(3):
-                status, _, body = await path.ask()
+                status, _, body = await system.ask()
                 self.assertEqual((status, body), (200, b"the target's bytes"))
 
     @on_real_clock
-    async def test_spoilt_answer_to_an_idempotent_request_is_replaced(self):
-        for how in ("unsigned", "encoded", "truncated", "reset", "garbage", "fails"):
-            async with running_path(2) as path:
-                for target in path.targets:
-                    target.spoils = [how]
-                # Both have one spoilt answer to give; the second attempt of
-                # the second request meets a sound one at the latest.
-                await path.ask()
-                status, _, body = await path.ask()
-                self.assertEqual((status, body), (200, b"the target's bytes"), how)
+    async def test_idempotent_request_is_retried_after_a_faulty_answer(self):
+        for fault in ("unsigned", "encoded", "truncated", "reset", "garbage", "fails"):
+            async with running_system(2) as system:
+                for target in system.targets:
+                    target.spoils = [fault]
+                # Each target gives one faulty answer. The second attempt of the
+                # second request gets a correct one at the latest.
+                await system.ask()
+                status, _, body = await system.ask()
+                self.assertEqual((status, body), (200, b"the target's bytes"), fault)
 
     @on_real_clock
-    async def test_non_idempotent_request_runs_once_and_is_not_said_unrun(self):
-        """A target runs a booking and its answer is lost on the way.
+    async def test_non_idempotent_request_is_not_retried_or_reported_as_not_run(self):
+        """A target runs a booking, and its answer is lost on the way.
 
-        Sent again, it would take another family's chair; answered 503, the
-        caller would send it again itself. So it is one run and a 502.
+        A retry would book a second seat, and after a 503 the caller would retry
+        by itself. The VM therefore sends the request once and answers 502.
         """
-        for how in ("unsigned", "truncated", "reset", "garbage"):
-            async with running_path(2) as path:
-                for target in path.targets:
-                    target.spoils = [how]
-                status, headers, _ = await path.ask("/book/1", "POST", body=b"seat 4")
-                self.assertEqual(status, 502, how)
+        for fault in ("unsigned", "truncated", "reset", "garbage"):
+            async with running_system(2) as system:
+                for target in system.targets:
+                    target.spoils = [fault]
+                status, headers, _ = await system.ask("/book/1", "POST", body=b"seat 4")
+                self.assertEqual(status, 502, fault)
                 self.assertNotIn("retry-after", headers)
-                runs = [run for target in path.targets for run in target.runs]
-                self.assertEqual(len(runs), 1, how)
+                runs = [run for target in system.targets for run in target.runs]
+                self.assertEqual(len(runs), 1, fault)
 
     @on_real_clock
-    async def test_failed_run_of_a_target_is_passed_on_unchanged(self):
-        async with running_path(2) as path:
-            for target in path.targets:
+    async def test_error_answer_of_a_target_is_passed_on_unchanged(self):
+        async with running_system(2) as system:
+            for target in system.targets:
                 target.spoils = ["fails"]
-            status, headers, _ = await path.ask("/book/1", "POST")
+            status, headers, _ = await system.ask("/book/1", "POST")
             self.assertEqual(status, 500)
             self.assertIn("server-seal", headers)
 
 
 class TestLongAnswers(unittest.TestCase):
-    """Answers that are too long to be held before the caller gets them."""
+    """Answers that are too long to buffer before they are passed on."""
 
     LONG = bytes(range(256)) * 4000
 
     @on_real_clock
-    async def test_long_answer_is_whole(self):
-        async with running_path(1, body=self.LONG) as path:
-            status, _, body = await path.ask()
+    async def test_long_answer_is_complete(self):
+        async with running_system(1, body=self.LONG) as system:
+            status, _, body = await system.ask()
             self.assertEqual((status, body == self.LONG), (200, True))
 
     @on_real_clock
-    async def test_answer_without_a_length_is_whole(self):
+    async def test_answer_without_a_length_is_complete(self):
         for size in (1, 4000):
-            async with running_path(1, body=self.LONG[: size * 256]) as path:
-                path.targets[0].spoils = ["unframed"]
-                status, _, body = await path.ask()
+            async with running_system(1, body=self.LONG[: size * 256]) as system:
+                system.targets[0].spoils = ["unframed"]
+                status, _, body = await system.ask()
                 self.assertEqual((status, len(body)), (200, size * 256))
 
     @on_real_clock
-    async def test_broken_off_long_answer_does_not_look_whole(self):
-        """A target breaks off in the middle of a long answer.
+    async def test_truncated_long_answer_breaks_the_callers_connection(self):
+        """A target closes its connection in the middle of a long answer.
 
-        Half of it has reached the caller. Ended properly there, it would pass
-        for the whole; the caller must see that its connection broke off.
+        Half of the answer has already reached the caller. If the VM ended the
+        response normally, it would look complete, so the VM must break the
+        caller's connection.
         """
-        for how in ("cut", "unframed reset"):
-            async with running_path(1, body=self.LONG) as path:
-                path.targets[0].spoils = [how]
-                with self.assertRaises(ConnectionBroken, msg=how):
-                    await path.ask("/book/1", "POST")
+        for fault in ("cut", "unframed reset"):
+            async with running_system(1, body=self.LONG) as system:
+                system.targets[0].spoils = [fault]
+                with self.assertRaises(ConnectionBroken, msg=fault):
+                    await system.ask("/book/1", "POST")
 
     @on_real_clock
-    async def test_broken_off_short_answer_is_a_failure(self):
-        for how in ("cut", "unframed reset"):
-            async with running_path(1) as path:
-                path.targets[0].spoils = [how]
-                status, _, _ = await path.ask("/book/1", "POST")
-                self.assertEqual(status, 502, how)
+    async def test_truncated_short_answer_gets_502(self):
+        for fault in ("cut", "unframed reset"):
+            async with running_system(1) as system:
+                system.targets[0].spoils = [fault]
+                status, _, _ = await system.ask("/book/1", "POST")
+                self.assertEqual(status, 502, fault)
 
 
-class TestNotRun(unittest.TestCase):
+class TestRequestsNotRun(unittest.TestCase):
     @on_real_clock
-    async def test_full_target_is_left_for_another(self):
-        async with running_path(2) as path:
-            await path.ask("/book/1", "POST")
-            first = next(target for target in path.targets if target.runs)
+    async def test_request_moves_from_a_full_target_to_another(self):
+        async with running_system(2) as system:
+            await system.ask("/book/1", "POST")
+            first = next(target for target in system.targets if target.runs)
             first.slots = 0
-            status, _, _ = await path.ask("/book/1", "POST")
+            status, _, _ = await system.ask("/book/1", "POST")
             self.assertEqual(status, 200)
 
     @on_real_clock
-    async def test_all_full_is_said_as_not_run(self):
-        async with running_path(2) as path:
-            for target in path.targets:
+    async def test_all_targets_full_gets_503_with_retry_after(self):
+        async with running_system(2) as system:
+            for target in system.targets:
                 target.slots = 0
-            status, headers, _ = await path.ask("/book/1", "POST")
+            status, headers, _ = await system.ask("/book/1", "POST")
             self.assertEqual(status, 503)
             self.assertGreater(float(headers["retry-after"]), 0)
 
     @on_real_clock
-    async def test_another_instance_at_the_address_does_not_run_it(self):
-        """A target is gone and its address belongs to another service now.
+    async def test_replacement_at_the_address_does_not_run_the_request(self):
+        """A target is gone, and its address now belongs to another service.
 
-        A request sent there would run where no route allows it. The target
-        that has the address sees which instance is meant, and answers 421.
+        That service would run a request that no route sends to it. The target
+        at the address compares the expected instance with its own and answers 421.
         """
-        async with running_path(2) as path:
-            await path.ask("/book/1", "POST")
-            first = next(target for target in path.targets if target.runs)
+        async with running_system(2) as system:
+            await system.ask("/book/1", "POST")
+            first = next(target for target in system.targets if target.runs)
             first.instance = "i-new"
-            status, _, _ = await path.ask("/book/1", "POST")
+            status, _, _ = await system.ask("/book/1", "POST")
             self.assertEqual(status, 200)
             self.assertEqual(len(first.runs), 1)
 
     @on_real_clock
-    async def test_target_that_is_down_is_left_for_another(self):
-        async with running_path(1) as path:
+    async def test_request_moves_from_an_unreachable_target_to_another(self):
+        async with running_system(1) as system:
             down = TargetStandin("i-down", address="127.0.0.1:9")
-            path.store.put("servers", "i-down", entry(down))
-            await path.until(lambda: len(path.gateway.registry.states) == 2)
+            system.store.put("servers", "i-down", entry(down))
+            await system.until(lambda: len(system.gateway.registry.states) == 2)
             for number in range(8):
-                status, _, _ = await path.ask(
+                status, _, _ = await system.ask(
                     "/book/1", "POST", affinity_key=f"{number}"
                 )
                 self.assertEqual(status, 200)
@@ -281,198 +284,212 @@
     @unittest.expectedFailure
     @on_real_clock
     async def test_target_that_answers_nobody_is_left_out(self):
-        """Each request for a frozen target's objects ran into its whole time."""
-        async with running_path() as path:
-            await path.ask(affinity_key="42")
-            owner = next(target for target in path.targets if target.runs)
+        """Every request for an object of a frozen target used up its timeout."""
+        async with running_system() as system:
+            await system.ask(affinity_key="42")
+            owner = next(target for target in system.targets if target.runs)
             owner.takes_s = 3600.0
             for _ in range(FAILURES_TO_EJECT):
-                status, _, _ = await path.ask(affinity_key="42")
+                status, _, _ = await system.ask(affinity_key="42")
                 self.assertEqual(status, 504)
-            status, _, _ = await path.ask(affinity_key="42")
+            status, _, _ = await system.ask(affinity_key="42")
             self.assertEqual(status, 200)
 
     @on_real_clock
-    async def test_answered_at_the_routes_timeout(self):
+    async def test_request_gets_504_at_the_route_timeout(self):
         routes = [route(timeout="200ms", targetLatency="100ms", attempts=1)]
-        async with running_path(1, configuration(paths=routes), takes_s=5.0) as path:
-            status, _, _ = await path.ask()
+        async with running_system(
+            1, configuration(paths=routes), takes_s=5.0
+        ) as system:
+            status, _, _ = await system.ask()
             self.assertEqual(status, 504)
 
     @on_real_clock
     async def test_run_that_ends_just_after_the_timeout_is_delivered(self):
-        """A target meets an object for the first time and takes as long as
-        the route's timeout.
+        """Guards against canceling a run that ends just after the route's timeout.
 
-        Cut just before its end, the booking had taken effect for nobody, and
-        the object stayed cold for the next caller.
+        A target's first request for an object can take as long as the timeout.
+        Canceling it just before its end lost the answer of a booking that had
+        taken effect, and left the object cold for the next caller.
         """
         routes = [route("book", "/book/", kind="non_idempotent", timeout="300ms")]
         routes[0]["targetLatency"] = "100ms"
-        async with running_path(1, configuration(paths=routes), takes_s=0.35) as path:
-            status, _, _ = await path.ask("/book/1", "POST")
+        async with running_system(
+            1, configuration(paths=routes), takes_s=0.35
+        ) as system:
+            status, _, _ = await system.ask("/book/1", "POST")
             self.assertEqual(status, 200)
-            run = path.targets[0].runs[0]
+            run = system.targets[0].runs[0]
             self.assertLessEqual(int(run.headers["deadline-ms"]), 480)
 
     @on_real_clock
-    async def test_idempotent_run_ends_when_its_caller_leaves(self):
-        """Callers leave early while targets are slow.
+    async def test_idempotent_request_ends_when_its_caller_disconnects(self):
+        """Guards against requests that occupy a slot after their caller has gone.
 
-        Each of their requests went on to fill a slot for nobody.
+        While targets were slow, callers disconnected early, and each of their
+        requests kept its slot.
         """
-        async with running_path(1, takes_s=1.0) as path:
-            stream = await path.connect()
+        async with running_system(1, takes_s=1.0) as system:
+            stream = await system.connect()
             await stream.send_all(
                 f"GET /read/1 HTTP/1.1\r\nHost: {HOST}\r\nRequest-Id: r\r\n"
                 f"Authorization: Bearer {KEY}\r\n\r\n".encode()
             )
-            await path.until(lambda: path.targets[0].running == 1)
+            await system.until(lambda: system.targets[0].running == 1)
             await stream.aclose()
-            await path.until(lambda: path.gateway.serving.in_flight == 0)
-            await path.until(lambda: path.lines("dropped"))
-            self.assertEqual(path.lines("dropped")[0]["reason"], "caller_left")
+            await system.until(lambda: system.gateway.serving.in_flight == 0)
+            await system.until(lambda: system.lines("dropped"))
+            self.assertEqual(system.lines("dropped")[0]["reason"], "caller_left")
 
     @on_real_clock
-    async def test_nothing_is_sent_on_for_a_caller_that_has_left(self):
-        """A caller gives up a booking that waits in a full target's queue.
+    async def test_request_is_not_retried_after_its_caller_disconnects(self):
+        """Guards against retrying a booking whose caller has disconnected.
 
-        The target says later that it has not run it, and the VM sends it to
-        another, which runs it for nobody: a seat is taken that nobody knows of.
-        A booking is not broken off when its caller leaves, so nobody looked.
+        The caller disconnects while its booking waits in a full target's queue.
+        The target then reports that it has not run the booking, and the VM sent
+        it to another target, which booked a seat that no caller knew of. A caller
+        that disconnects does not cancel a booking, so the VM did not check whether
+        the caller was still connected before it retried.
         """
-        async with running_path(2, slots=0, queues_s=0.3) as path:
-            stream = await path.connect()
+        async with running_system(2, slots=0, queues_s=0.3) as system:
+            stream = await system.connect()
             await stream.send_all(
                 f"POST /book/1 HTTP/1.1\r\nHost: {HOST}\r\nRequest-Id: r\r\n"
                 f"Authorization: Bearer {KEY}\r\nContent-Length: 0\r\n\r\n".encode()
             )
-            await path.until(lambda: sum(t.shed for t in path.targets) == 1)
+            await system.until(lambda: sum(t.shed for t in system.targets) == 1)
             await stream.aclose()
-            await path.until(lambda: path.gateway.serving.in_flight == 0)
-            self.assertEqual(sum(target.shed for target in path.targets), 1)
-            await path.until(lambda: path.lines("dropped"))
-            self.assertEqual(path.lines("dropped")[0]["reason"], "caller_left")
+            await system.until(lambda: system.gateway.serving.in_flight == 0)
+            self.assertEqual(sum(target.shed for target in system.targets), 1)
+            await system.until(lambda: system.lines("dropped"))
+            self.assertEqual(system.lines("dropped")[0]["reason"], "caller_left")
 
     @on_real_clock
-    async def test_non_idempotent_run_goes_on_when_its_caller_leaves(self):
-        async with running_path(1, takes_s=0.3) as path:
-            stream = await path.connect()
+    async def test_non_idempotent_request_continues_when_its_caller_disconnects(self):
+        async with running_system(1, takes_s=0.3) as system:
+            stream = await system.connect()
             await stream.send_all(
                 f"POST /book/1 HTTP/1.1\r\nHost: {HOST}\r\nRequest-Id: r\r\n"
                 f"Authorization: Bearer {KEY}\r\nContent-Length: 0\r\n\r\n".encode()
             )
-            await path.until(lambda: path.targets[0].running == 1)
+            await system.until(lambda: system.targets[0].running == 1)
             await stream.aclose()
-            await path.until(lambda: path.gateway.serving.in_flight == 0)
-            # Lines are written by a thread, which may come later.
-            await path.until(lambda: path.lines("answered"))
-            self.assertEqual(path.lines("answered")[0]["status"], 200)
+            await system.until(lambda: system.gateway.serving.in_flight == 0)
+            # A separate thread writes the log lines, possibly a little later.
+            await system.until(lambda: system.lines("answered"))
+            self.assertEqual(system.lines("answered")[0]["status"], 200)
 
 
 class TestConfiguration(unittest.TestCase):
     @on_real_clock
-    async def test_new_version_is_in_force_and_older_ones_are_not(self):
-        async with running_path() as path:
+    async def test_newer_version_is_applied_and_older_ones_are_ignored(self):
+        async with running_system() as system:
             routes = [route("new", "/new/")]
-            path.store.put("config", "main", configuration(9, routes))
-            await path.until(lambda: path.gateway.admission.configuration.version == 9)
-            self.assertEqual((await path.ask("/new/1"))[0], 200)
-            self.assertEqual((await path.ask("/read/1"))[0], 404)
-            path.store.put("config", "main", configuration(8))
-            path.store.put("config", "main", configuration(10, routes))
-            await path.until(lambda: path.gateway.admission.configuration.version == 10)
-            self.assertEqual((await path.ask("/read/1"))[0], 404)
-
-    @on_real_clock
-    async def test_unusable_version_names_its_field_and_changes_nothing(self):
-        async with running_path() as path:
+            system.store.put("config", "main", configuration(9, routes))
+            await system.until(
+                lambda: system.gateway.admission.configuration.version == 9
+            )
+            self.assertEqual((await system.ask("/new/1"))[0], 200)
+            self.assertEqual((await system.ask("/read/1"))[0], 404)
+            system.store.put("config", "main", configuration(8))
+            system.store.put("config", "main", configuration(10, routes))
+            await system.until(
+                lambda: system.gateway.admission.configuration.version == 10
+            )
+            self.assertEqual((await system.ask("/read/1"))[0], 404)
+
+    @on_real_clock
+    async def test_invalid_version_is_logged_with_its_field_and_ignored(self):
+        async with running_system() as system:
             bad = configuration(9)
             bad["hosts"][0]["paths"][0]["timeout"] = 12
-            path.store.put("config", "main", bad)
-            await path.until(lambda: path.lines("object not usable"))
-            self.assertEqual(path.lines("object not usable")[0]["field"], "timeout")
-            self.assertEqual((await path.ask())[0], 200)
+            system.store.put("config", "main", bad)
+            await system.until(lambda: system.lines("object not usable"))
+            self.assertEqual(system.lines("object not usable")[0]["field"], "timeout")
+            self.assertEqual((await system.ask())[0], 200)
 
     @on_real_clock
-    async def test_malformed_entry_hides_no_other(self):
-        async with running_path(1) as path:
+    async def test_malformed_entry_does_not_affect_valid_ones(self):
+        async with running_system(1) as system:
             for number, bad in enumerate([None, 4, {}, {"service": 3}, "x"]):
-                path.store.put("servers", f"bad-{number}", bad)
-            target = path.targets[0]
-            path.store.put("servers", "odd", entry(target, state="sleeping"))
-            path.store.put("servers", "late", entry(target, born=1.5))
-            await path.until(lambda: len(path.lines("object not usable")) >= 7)
-            self.assertEqual(list(path.gateway.registry.states), ["i-0"])
-            self.assertEqual((await path.ask())[0], 200)
-
-    @on_real_clock
-    async def test_leaving_and_evacuated_targets_get_nothing(self):
-        async with running_path(2) as path:
-            path.store.put(
-                "servers", "i-0", entry(path.targets[0], state="draining", seq=5)
+                system.store.put("servers", f"bad-{number}", bad)
+            target = system.targets[0]
+            system.store.put("servers", "odd", entry(target, state="sleeping"))
+            system.store.put("servers", "late", entry(target, born=1.5))
+            await system.until(lambda: len(system.lines("object not usable")) >= 7)
+            self.assertEqual(list(system.gateway.registry.states), ["i-0"])
+            self.assertEqual((await system.ask())[0], 200)
+
+    @on_real_clock
+    async def test_draining_and_evacuated_targets_get_no_requests(self):
+        async with running_system(2) as system:
+            system.store.put(
+                "servers", "i-0", entry(system.targets[0], state="draining", seq=5)
             )
-            await path.until(
+            await system.until(
                 lambda: (
-                    len(path.gateway.registry.eligible("calendario", frozenset())) == 1
+                    len(system.gateway.registry.eligible("calendario", frozenset()))
+                    == 1
                 )
             )
             for number in range(6):
-                await path.ask(affinity_key=str(number))
-            self.assertEqual(len(path.targets[0].runs), 0)
-            path.store.put("evacuations", "mil-a", {})
-            await path.until(lambda: path.gateway.registry.evacuated)
-            self.assertEqual((await path.ask())[0], 503)
-            path.store.delete("evacuations", "mil-a")
-            await path.until(lambda: not path.gateway.registry.evacuated)
-
-
-class TestStoreTrouble(unittest.TestCase):
-    @on_real_clock
-    async def test_serves_on_with_what_it_knew(self):
-        async with running_path() as path:
-            path.store.answers = "busy"
-            path.store.forget_history()
-            await path.until(lambda: path.lines("store lost"))
-            self.assertEqual((await path.ask())[0], 200)
-            path.store.answers = "yes"
-            path.store.put("config", "main", configuration(9))
-            await path.until(lambda: path.gateway.admission.configuration.version == 9)
+                await system.ask(affinity_key=str(number))
+            self.assertEqual(len(system.targets[0].runs), 0)
+            system.store.put("evacuations", "mil-a", {})
+            await system.until(lambda: system.gateway.registry.evacuated)
+            self.assertEqual((await system.ask())[0], 503)
+            system.store.delete("evacuations", "mil-a")
+            await system.until(lambda: not system.gateway.registry.evacuated)
+
+
+class TestStoreFailures(unittest.TestCase):
+    @on_real_clock
+    async def test_requests_are_served_while_the_store_is_unavailable(self):
+        async with running_system() as system:
+            system.store.answers = "busy"
+            system.store.forget_history()
+            await system.until(lambda: system.lines("store lost"))
+            self.assertEqual((await system.ask())[0], 200)
+            system.store.answers = "yes"
+            system.store.put("config", "main", configuration(9))
+            await system.until(
+                lambda: system.gateway.admission.configuration.version == 9
+            )
 
     @on_real_clock
-    async def test_change_in_forgotten_history_is_found(self):
-        """The store drops its history while a target leaves.
+    async def test_change_in_discarded_history_is_found(self):
+        """The store discards its history while a target is removed.
 
-        A watch that only went on from the newest revision would never hear of
-        it, and requests would go to a target that is gone.
+        A watch that simply resumed at the newest revision would miss the removal,
+        and requests would go to a target that is gone.
         """
-        async with running_path(2) as path:
-            path.store.objects["servers"].pop("i-0")
-            path.store.forget_history()
-            await path.until(
+        async with running_system(2) as system:
+            system.store.objects["servers"].pop("i-0")
+            system.store.forget_history()
+            await system.until(
                 lambda: (
-                    path.gateway.registry.states.get("i-0") is None
-                    or path.gateway.registry.states["i-0"].expired_at is not None
+                    system.gateway.registry.states.get("i-0") is None
+                    or system.gateway.registry.states["i-0"].expired_at is not None
                 )
             )
 
 
 class TestLookups(unittest.TestCase):
     @on_real_clock
-    async def test_names_this_vm_and_a_time(self):
-        async with running_path() as path:
+    async def test_answer_contains_the_address_of_this_vm(self):
+        async with running_system() as system:
             listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
             port = listeners[0].socket.getsockname()[1]
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(
-                    serve_http, path.gateway.answer_lookup, listeners, Stopping()
+                    serve_http, system.gateway.answer_lookup, listeners, Stopping()
                 )
                 target = "/plantainshed/resolve?name=x&region=lombardia&zone=mil-a"
-                await path.until(lambda: path.gateway.members.ready())
-                await path.gateway.peers.send_now()
+                await system.until(lambda: system.gateway.members.ready())
+                await system.gateway.peers.send_now()
                 status, _, body = await send(
                     f"127.0.0.1:{port}", "GET", target, {"host": "x"}
                 )
                 self.assertEqual(status, 200)
-                self.assertIn(path.address.encode(), body)
+                self.assertIn(system.address.encode(), body)
                 nursery.cancel_scope.cancel()
