--- a/tests/platform/store_standin.py
+++ b/tests/platform/store_standin.py
@@ -1,4 +1,4 @@
-"""A small stand-in of the platform's store, after its published protocol."""
+"""A small stand-in for the platform's store that follows its published protocol."""
 
 import contextlib
 
@@ -13,19 +13,21 @@
 
 @define
 class StoreStandin:
-    """Objects by kind and name, one revision counter, watches and faults.
+    """Stores objects by kind and name, serves watches, and injects faults.
 
     Attributes
     ----------
     answers : str
-        ``yes``, ``busy`` (503), ``many`` (429) or ``silent``.
+        How it answers: ``yes`` (normally), ``busy`` (503), ``many`` (429) or
+        ``silent`` (not at all).
     loses_answers : bool
-        Whether writes take effect and are not answered.
-    forgotten : int
-        Watches from a revision below this get 410.
+        Whether writes take effect but get no answer.
+    oldest_revision : int
+        The oldest revision that can be watched; watches from below it get 410.
     page : int
-        Most objects in a list's answer.
+        Maximum number of objects in the answer to a list.
     calls : list of str
+        Method and request target of each call.
     """
 
     objects: dict[str, dict[str, dict]] = field(factory=dict)
@@ -33,24 +35,24 @@
     revision: int = 100
     answers: str = "yes"
     loses_answers: bool = False
-    forgotten: int = 0
+    oldest_revision: int = 0
     page: int = 500
     calls: list[str] = field(factory=list)
     changed: trio.Event = field(factory=trio.Event)
     watching: int = 0
 
-    def put(self, kind: str, name: str, spec, **more):
-        """Write as the operator or a target would."""
-        known = self.objects.setdefault(kind, {}).get(name)
-        if known and known["spec"] == spec:
-            return known
+    def put(self, kind: str, name: str, spec, **extra_fields):
+        """Create or update an object, as the operator or a target does."""
+        existing = self.objects.setdefault(kind, {}).get(name)
+        if existing and existing["spec"] == spec:
+            return existing
         self.revision += 1
-        created = known["metadata"]["createdRev"] if known else self.revision
+        created = existing["metadata"]["createdRev"] if existing else self.revision
         metadata = {"name": name, "rev": self.revision, "createdRev": created}
         metadata |= {"finalizers": [], "deleting": False}
-        value = {"metadata": metadata, "spec": spec, "status": None, **more}
+        value = {"metadata": metadata, "spec": spec, "status": None, **extra_fields}
         self.objects[kind][name] = value
-        self._note(kind, value, False)
+        self._record_event(kind, value, False)
         return value
 
     def delete(self, kind: str, name: str):
@@ -58,20 +60,20 @@
         value = self.objects[kind].pop(name)
         self.revision += 1
         value = {**value, "metadata": {**value["metadata"], "rev": self.revision}}
-        self._note(kind, value, True)
+        self._record_event(kind, value, True)
 
     def forget_history(self):
-        """Forget all changes and cut the watches that wait."""
+        """Discard the history of changes and end the waiting watches."""
         self.revision += 1
-        self.forgotten = self.revision
+        self.oldest_revision = self.revision
         self.history = []
-        self._wake()
+        self._notify_watches()
 
-    def _note(self, kind: str, value: dict, deleted: bool):
+    def _record_event(self, kind: str, value: dict, deleted: bool):
         self.history.append((self.revision, kind, value, deleted))
-        self._wake()
+        self._notify_watches()
 
-    def _wake(self):
+    def _notify_watches(self):
         self.changed.set()
         self.changed = trio.Event()
 
@@ -87,47 +89,49 @@
             return
         path, _, query = exchange.request.target.removeprefix(PREFIX).partition("?")
         kind, _, name = path.partition("/")
-        asked = dict(part.split("=") for part in query.split("&") if part)
-        status, answer = await self._answer(exchange, kind, name, asked, body)
+        parameters = dict(part.split("=") for part in query.split("&") if part)
+        status, answer = await self._answer(exchange, kind, name, parameters, body)
         if self.loses_answers and exchange.request.method != "GET":
             await trio.sleep_forever()
         await exchange.reply(status, [], orjson.dumps(answer))
 
-    async def _answer(self, exchange, kind, name, asked, body):
+    async def _answer(self, exchange, kind, name, parameters, body):
         method = exchange.request.method
-        if method == "GET" and "watch" in asked:
-            return await self._watch(kind, int(asked["watch"]), int(asked["waitMs"]))
+        if method == "GET" and "watch" in parameters:
+            return await self._watch(
+                kind, int(parameters["watch"]), int(parameters["waitMs"])
+            )
         if method == "GET":
-            return self._list(kind, asked.get("after", ""))
+            return self._list(kind, parameters.get("after", ""))
         if method == "DELETE":
             self.delete(kind, name)
             return 200, {}
         written = orjson.loads(body)
-        known = self.objects.get(kind, {}).get(name or written["metadata"]["name"])
-        if method == "POST" and known:
-            return 409, known
-        if method == "PUT" and not known:
+        existing = self.objects.get(kind, {}).get(name or written["metadata"]["name"])
+        if method == "POST" and existing:
+            return 409, existing
+        if method == "PUT" and not existing:
             return 404, {}
         if method == "PUT" and written["metadata"].get("rev") not in (
             None,
-            known["metadata"]["rev"],
+            existing["metadata"]["rev"],
         ):
-            return 409, known
+            return 409, existing
         return 200, self.put(kind, written["metadata"]["name"], written["spec"])
 
     def _list(self, kind, after):
         names = sorted(n for n in self.objects.get(kind, {}) if n > after)
         items = [self.objects[kind][name] for name in names[: self.page]]
-        more = len(names) > self.page
-        return 200, {"items": items, "hasMore": more, "currentRev": self.revision}
+        has_more = len(names) > self.page
+        return 200, {"items": items, "hasMore": has_more, "currentRev": self.revision}
 
     async def _watch(self, kind, revision, wait_ms):
         self.watching += 1
         with trio.move_on_after(wait_ms / 1000):
-            while not self._events(kind, revision) and revision >= self.forgotten:
+            while not self._events(kind, revision) and revision >= self.oldest_revision:
                 await self.changed.wait()
         self.watching -= 1
-        if revision < self.forgotten:
+        if revision < self.oldest_revision:
             return 410, {"error": "history is gone"}
         events = self._events(kind, revision)
         return 200, {"events": events, "currentRev": self.revision}
@@ -135,14 +139,14 @@
     def _events(self, kind, revision):
         return [
             {"object": value, "deleted": deleted}
-            for at, of_kind, value, deleted in self.history
-            if at > revision and of_kind == kind
+            for event_revision, event_kind, value, deleted in self.history
+            if event_revision > revision and event_kind == kind
         ]
 
 
 @contextlib.asynccontextmanager
 async def running_store(store: StoreStandin):
-    """Serve the stand-in on loopback; yields its address."""
+    """Serve the stand-in on loopback; yield its address."""
     listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
     port = listeners[0].socket.getsockname()[1]
     async with trio.open_nursery() as nursery:
--- a/tests/platform/target_standin.py
+++ b/tests/platform/target_standin.py
@@ -1,4 +1,4 @@
-"""A small stand-in of a target (back end), after the published protocol."""
+"""A small stand-in for a target (back end) that follows the published protocol."""
 
 import contextlib
 import struct
@@ -12,7 +12,7 @@
 
 @define
 class Run:
-    """One request that the target began to run."""
+    """A request that the target has started to run."""
 
     request_id: str
     headers: dict[str, str]
@@ -22,25 +22,27 @@
 
 @define
 class TargetStandin:
-    """Runs requests, sheds, and spoils answers when told to.
+    """Runs requests, sheds those beyond its slots, and injects faults into answers.
 
     Attributes
     ----------
     instance : str
     slots : int
-        More requests at once are shed, said not to have run.
+        How many requests run at once. Further ones are shed and reported as not
+        run.
     takes_s : float
         How long a run takes.
     queues_s : float
         How long a request waits before it is shed.
     shed : int
-        Requests that came and were shed, or wait for it.
+        How many requests were shed or are waiting to be.
     spoils : list of str
-        How the next answers go wrong: ``unsigned``, ``encoded``, ``truncated``,
-        ``reset``, ``extra`` (another request's answer first), ``after`` (bytes
-        after the end), ``fails`` (500), ``garbage``, ``unframed`` (no length,
-        ends with its connection), ``unframed reset`` (the same, broken off),
-        ``cut`` (the body ends early).
+        Faults of the next answers, in order: ``unsigned`` (no seal), ``encoded``,
+        ``truncated``, ``reset``, ``extra`` (another request's answer first),
+        ``after`` (bytes after the end), ``fails`` (500), ``garbage``, ``unframed``
+        (no length, ends when the connection closes), ``unframed reset`` (the same,
+        but reset halfway), ``cut`` (the body ends early). An empty string means no
+        fault.
     runs : list of Run
     """
 
@@ -81,8 +83,8 @@
         if self.running >= self.slots:
             self.shed += 1
             await trio.sleep(self.queues_s)
-            more = [("Not-Executed", "1")]
-            await self._reply(stream, connection, 503, headers, b"", more)
+            extra_headers = [("Not-Executed", "1")]
+            await self._reply(stream, connection, 503, headers, b"", extra_headers)
             return True
         self.runs.append(Run(headers.get("request-id", ""), headers, body, path))
         self.running += 1
@@ -93,53 +95,55 @@
         return await self._answer(stream, connection, headers)
 
     async def _answer(self, stream, connection, headers) -> bool:
-        how = self.spoils.pop(0) if self.spoils else ""
-        whole = self.body_for(headers)
+        fault = self.spoils.pop(0) if self.spoils else ""
+        full_body = self.body_for(headers)
         seal = [("Server-Seal", f"seal-{self.instance}")]
-        if how == "reset":
+        if fault == "reset":
             _reset_on_close(stream)
             return False
-        if how == "garbage":
+        if fault == "garbage":
             await stream.send_all(b"\x00\x01 what is this\r\n\r\n")
             return False
-        if how in ("unframed", "unframed reset", "cut"):
-            await self._send_loose(stream, headers["request-id"], how, whole)
+        if fault in ("unframed", "unframed reset", "cut"):
+            await self._send_until_close(
+                stream, headers["request-id"], fault, full_body
+            )
             return False
-        if how == "truncated":
+        if fault == "truncated":
             head = f"HTTP/1.1 200 OK\r\nRequest-Id: {headers['request-id']}\r\n"
             head += "Server-Seal: s\r\nContent-Length: 900\r\n\r\nonly a part"
             await stream.send_all(head.encode())
             return False
-        if how == "extra":
+        if fault == "extra":
             head = "HTTP/1.1 200 OK\r\nRequest-Id: another\r\nServer-Seal: s\r\n"
             await stream.send_all((head + "Content-Length: 5\r\n\r\nwrong").encode())
-        if how == "encoded":
+        if fault == "encoded":
             seal.append(("Content-Encoding", "gzip"))
-        if how == "unsigned":
+        if fault == "unsigned":
             seal = []
-        status = 500 if how == "fails" else 200
-        await self._reply(stream, connection, status, headers, whole, seal)
-        if how == "after":
+        status = 500 if fault == "fails" else 200
+        await self._reply(stream, connection, status, headers, full_body, seal)
+        if fault == "after":
             await stream.send_all(b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nbad")
         return True
 
-    async def _send_loose(self, stream, request_id, how, whole):
-        """Send an answer whose end only the connection shows."""
+    async def _send_until_close(self, stream, request_id, fault, full_body):
+        """Send an answer that ends when the connection closes."""
         head = f"HTTP/1.1 200 OK\r\nRequest-Id: {request_id}\r\nServer-Seal: s\r\n"
-        if how == "cut":
-            head += f"Content-Length: {len(whole)}\r\n"
-        body = whole if how == "unframed" else whole[: len(whole) // 2]
+        if fault == "cut":
+            head += f"Content-Length: {len(full_body)}\r\n"
+        body = full_body if fault == "unframed" else full_body[: len(full_body) // 2]
         await stream.send_all((head + "\r\n").encode() + body)
-        if how == "unframed reset":
-            # Let the bytes arrive; a reset at once would discard them.
+        if fault == "unframed reset":
+            # Let the bytes arrive; an immediate reset would discard them.
             await trio.sleep(0.05)
             _reset_on_close(stream)
 
-    async def _reply(self, stream, connection, status, headers, body, more=()):
+    async def _reply(self, stream, connection, status, headers, body, extra_headers=()):
         sent = [("Content-Length", str(len(body))), ("Instance-Id", self.instance)]
         if "request-id" in headers:
             sent.append(("Request-Id", headers["request-id"]))
-        response = h11.Response(status_code=status, headers=[*sent, *more])
+        response = h11.Response(status_code=status, headers=[*sent, *extra_headers])
         data = connection.send(response)
         data += connection.send(h11.Data(data=body)) or b""
         data += connection.send(h11.EndOfMessage())
@@ -147,7 +151,7 @@
 
 
 def _reset_on_close(stream):
-    """Make closing a connection reset it."""
+    """Make the connection send a reset (RST) when it is closed."""
     linger = struct.pack("ii", 1, 0)
     stream.setsockopt(trio.socket.SOL_SOCKET, trio.socket.SO_LINGER, linger)
 
@@ -170,7 +174,7 @@
 
 @contextlib.asynccontextmanager
 async def running_target(target: TargetStandin):
-    """Serve the stand-in on loopback; sets and yields its address."""
+    """Serve the stand-in on loopback; set and yield its address."""
     listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
     port = listeners[0].socket.getsockname()[1]
     target.address = f"127.0.0.1:{port}"
