--- a/tests/platform/test_fleet.py
+++ b/tests/platform/test_fleet.py
@@ -1,4 +1,4 @@
-"""Several gateways that reach each other over loopback, each at its own IP."""
+"""Tests of several gateways that communicate over loopback, each at its own IP."""
 
 import contextlib
 import io
@@ -30,42 +30,42 @@
 REGION_OF = {"mil-a": "lombardia", "ven-a": "veneto"}
 
 
-class Door:
-    """One VM's way to the store, which can turn it away alone."""
+class StoreProxy:
+    """One VM's access to the store, which can be cut off for this VM alone."""
 
     def __init__(self, store: StoreStandin):
         self.store = store
         self.is_open = True
-        self.waiting: set[trio.CancelScope] = set()
+        self.pending: set[trio.CancelScope] = set()
 
     async def handle(self, exchange):
         if not self.is_open:
             await exchange.reply(503, [], b"{}")
             return
         with trio.CancelScope() as scope:
-            self.waiting.add(scope)
+            self.pending.add(scope)
             try:
                 await self.store.handle(exchange)
             finally:
-                self.waiting.discard(scope)
+                self.pending.discard(scope)
 
     def close(self):
-        """Turn the VM away, also from what it waits for."""
+        """Refuse further calls and cancel those that are waiting."""
         self.is_open = False
-        for scope in self.waiting:
+        for scope in self.pending:
             scope.cancel()
 
 
 class Fleet:
-    """Gateways, their doors to one store, and the store."""
+    """Gateways, the store that they share, and the proxy of each to it."""
 
     def __init__(self, store: StoreStandin):
         self.store = store
-        self.doors: list[Door] = []
+        self.store_proxies: list[StoreProxy] = []
         self.gateways: list[Gateway] = []
 
-    def config_watches(self) -> int:
-        """Return how many watches of the configuration were ever begun."""
+    def count_config_watches(self) -> int:
+        """Return how many watches of the configuration the store has received."""
         return sum("/config?watch" in call for call in self.store.calls)
 
     async def until(self, condition):
@@ -107,10 +107,10 @@
         stack.callback(nursery.cancel_scope.cancel)
         datagram_port = None
         for number in range(count):
-            door = Door(fleet.store)
-            fleet.doors.append(door)
+            proxy = StoreProxy(fleet.store)
+            fleet.store_proxies.append(proxy)
             listeners, port = await listen("127.0.0.1")
-            nursery.start_soon(serve_http, door.handle, listeners, Stopping())
+            nursery.start_soon(serve_http, proxy.handle, listeners, Stopping())
             address = f"127.0.0.1:{port}"
             ip = f"127.0.0.{number + 2}"
             listeners, port = await listen(ip)
@@ -118,10 +118,10 @@
             settings = make_settings(number, address, datagram_port, f"{ip}:{port}")
             log = DecisionLog(settings.vm, settings.failure_domain, io.StringIO())
             stack.enter_context(log.writing())
-            surroundings = PlatformAdapter(
+            adapter = PlatformAdapter(
                 PlatformWire(), PlatformDecoder(), ObjectStore(address)
             )
-            gateway = Gateway(Context(settings, surroundings, log, 1))
+            gateway = Gateway(Context(settings, adapter, log, 1))
             fleet.gateways.append(gateway)
             nursery.start_soon(gateway.run)
             handler = StateHandler(gateway.replicas)
@@ -132,7 +132,7 @@
         yield fleet
 
 
-def version(gateway: Gateway) -> int:
+def configuration_version(gateway: Gateway) -> int:
     return gateway.admission.configuration.version
 
 
@@ -142,27 +142,29 @@
 
 class TestState(unittest.TestCase):
     @on_real_clock
-    async def test_vm_that_the_store_turns_away_learns_from_another(self):
-        """The store refuses one VM and serves the others; a route is dropped.
+    async def test_vm_refused_by_the_store_gets_updates_from_peers(self):
+        """The store refuses one VM and serves the others while a route is removed.
 
-        Callers at that VM would reach a dropped route, or use a withdrawn key,
-        for as long as the store goes on refusing it.
+        Callers of that VM could use a removed route or a revoked key for as long
+        as the store refuses the VM.
         """
         async with running_fleet() as fleet:
-            fleet.doors[2].close()
+            fleet.store_proxies[2].close()
             fleet.store.put("config", "main", configuration(9, [route("new", "/new/")]))
-            await fleet.until(lambda: all(version(g) == 9 for g in fleet.gateways))
+            await fleet.until(
+                lambda: all(configuration_version(g) == 9 for g in fleet.gateways)
+            )
 
     @on_real_clock
-    async def test_vm_that_starts_while_the_store_is_silent_serves(self):
-        """A VM restarts while the store answers nobody.
+    async def test_vm_that_starts_during_a_store_outage_becomes_ready(self):
+        """A VM restarts while the store answers no VM.
 
-        It would refuse all callers until the store is back, though every VM
-        beside it knows the configuration.
+        The VM would refuse all callers until the store is back, although every
+        other VM has the configuration.
         """
         async with running_fleet() as fleet:
-            for door in fleet.doors:
-                door.close()
+            for proxy in fleet.store_proxies:
+                proxy.close()
             started = fleet.gateways[1]
             await fleet.until(lambda: not started.followers["targets"].is_connected)
             for follower in started.followers.values():
@@ -172,27 +174,36 @@
             started.registry.states = {}
             started.state = VmState.STARTING
             await fleet.until(lambda: started.state is VmState.READY)
-            self.assertEqual(version(started), 7)
+            self.assertEqual(configuration_version(started), 7)
             self.assertEqual(list(started.registry.states), ["i-0"])
 
     @on_real_clock
-    async def test_watches_that_the_store_never_took_up_are_noticed(self):
-        """All VMs refused newer keys for as long as a watch may wait."""
+    async def test_watches_lost_by_the_store_are_restarted(self):
+        """Guards against VMs refusing new keys for the maximum wait of a watch."""
         async with running_fleet() as fleet:
             fleet.store.put("config", "main", configuration(8))
-            await fleet.until(lambda: all(version(g) == 8 for g in fleet.gateways))
+            await fleet.until(
+                lambda: all(configuration_version(g) == 8 for g in fleet.gateways)
+            )
             fleet.store.answers = "silent"
-            begun = fleet.config_watches()
-            await fleet.until(lambda: fleet.config_watches() == begun + 3)
+            watches_before = fleet.count_config_watches()
+            await fleet.until(
+                lambda: fleet.count_config_watches() == watches_before + 3
+            )
             fleet.store.answers = "yes"
             fleet.store.put("config", "main", configuration(9))
-            await fleet.until(lambda: all(version(g) == 9 for g in fleet.gateways))
+            await fleet.until(
+                lambda: all(configuration_version(g) == 9 for g in fleet.gateways)
+            )
 
 
 class TestMetrics(unittest.TestCase):
     @on_real_clock
-    async def test_age_and_revision_of_copies_are_told(self):
-        """Nothing told an idle copy from one that the store had stopped confirming."""
+    async def test_age_and_revision_of_copies_are_exported(self):
+        """Guards against metrics that do not reveal a stale copy.
+
+        A copy that the store had stopped confirming looked like an unchanged one.
+        """
         async with running_fleet(1) as fleet:
             gateway, name = fleet.gateways[0], 'collection="configuration"'
             await fleet.until(
@@ -205,7 +216,7 @@
 
 class TestLookups(unittest.TestCase):
     @on_real_clock
-    async def test_leaving_vm_is_named_by_nobody(self):
+    async def test_leaving_vm_is_omitted_from_lookups(self):
         async with running_fleet() as fleet:
             lookup = Lookup("h", "veneto", "ven-a")
             first = fleet.gateways[0]
@@ -242,18 +253,18 @@
 
 class TestMembers(unittest.TestCase):
     @on_real_clock
-    async def test_vm_that_knows_one_other_is_told_of_the_rest(self):
-        """A VM starts while the store is away and knows only a seed.
+    async def test_vm_that_knows_one_member_learns_of_the_others(self):
+        """A VM that knows only a seed starts while the store is unavailable.
 
-        The others never heard of it: its callers were not named in look-ups,
-        and its part of each quota was on top of theirs.
+        The other VMs never learned of it: look-ups did not return its address for
+        callers, and its share of each quota was added to theirs.
         """
         async with running_fleet() as fleet:
-            started, rest = fleet.gateways[1], fleet.gateways[2]
-            for door in fleet.doors:
-                door.close()
+            started, other = fleet.gateways[1], fleet.gateways[2]
+            for proxy in fleet.store_proxies:
+                proxy.close()
             del started.members.table["edge-2"]
-            del rest.members.table["edge-1"]
+            del other.members.table["edge-1"]
             await fleet.until(
-                lambda: len(started.members.ready()) == len(rest.members.ready()) == 3
+                lambda: len(started.members.ready()) == len(other.members.ready()) == 3
             )
