--- a/tests/platform/daemon_support.py
+++ b/tests/platform/daemon_support.py
@@ -1,4 +1,4 @@
-"""The daemon's settings, filled in as the platform does."""
+"""Settings files of the daemon, rendered from the template as the platform does."""
 
 import os
 from pathlib import Path
@@ -6,8 +6,8 @@
 from plantainshed.demo.deployment import free_address
 from plantainshed_coordination.addresses import split_address
 
-# A loopback address for each process of tests. Several that run at once would now
-# and then choose the same port between another's choice and its use.
+# Each test process has its own loopback address. On a shared address, one process
+# could occasionally take a port that another has chosen but does not use yet.
 PID = os.getpid()
 IP = f"127.{100 + (PID >> 16) % 100}.{PID >> 8 & 255}.{1 + PID % 254}"
 TEMPLATE = Path(__file__).parents[2] / "deploy" / "gateway.ini"
@@ -36,7 +36,7 @@
 def filled_template(
     store: str, ports: list[int], zones="mil-a = lombardia\n", **fields
 ) -> str:
-    """Fill in the template as the platform does."""
+    """Render the settings template as the platform does."""
     text = TEMPLATE.read_text()
     text = text.replace(ZONES, zones)
     values = {**FIELDS, "platform.addr": store, **fields}
@@ -53,5 +53,5 @@
 
 
 def free_ports(count: int) -> list[int]:
-    """Return ports that nobody listens on, nor is given for what it connects."""
+    """Return ports without a listener that the system does not use for connections."""
     return [split_address(free_address())[1] for _ in range(count)]
--- a/tests/platform/test_daemon.py
+++ b/tests/platform/test_daemon.py
@@ -22,8 +22,9 @@
 from tests.support import on_real_clock
 
 PROGRAM = ("-m", "plantainshed_platform")
-# Runs the program, which gets a signal when it imports the module of a name.
-SIGNALLED_AT_IMPORT = """
+# Runs the program and sends it a signal when it imports a given module.
+# Arguments: the module's name and the signal's number.
+SIGNAL_AT_IMPORT_PROGRAM = """
 import runpy, signal, sys
 
 class Signalling:
@@ -38,7 +39,7 @@
 
 
 class Daemon:
-    """The program as a process of its own, against stand-ins."""
+    """The gateway in a separate process, with stand-ins of the store and a target."""
 
     def __init__(self, process, settings: Path, ports: list[int], store, targets):
         self.process = process
@@ -52,11 +53,11 @@
     async def read_lines(self):
         rest = b""
         async for data in self.process.stdout:
-            *whole, rest = (rest + data).split(b"\n")
-            self.lines.extend(orjson.loads(line) for line in whole)
+            *complete, rest = (rest + data).split(b"\n")
+            self.lines.extend(orjson.loads(line) for line in complete)
 
-    async def until_running(self):
-        """Wait until a target works on a request."""
+    async def until_request_runs(self):
+        """Wait until a target runs a request."""
         while not self.targets[0].running:
             await trio.sleep(0.01)
 
@@ -88,9 +89,9 @@
 
 
 @contextlib.asynccontextmanager
-async def running_daemon(reads_lines=True, program=PROGRAM, **target_more):
+async def running_daemon(reads_output=True, program=PROGRAM, **target_options):
     store = StoreStandin()
-    target = TargetStandin("i-0", **target_more)
+    target = TargetStandin("i-0", **target_options)
     async with contextlib.AsyncExitStack() as stack:
         folder = Path(stack.enter_context(tempfile.TemporaryDirectory()))
         store_address = await stack.enter_async_context(running_store(store))
@@ -108,7 +109,7 @@
         daemon = Daemon(process, settings, ports, store, [target])
         try:
             async with trio.open_nursery() as nursery:
-                if reads_lines:
+                if reads_output:
                     nursery.start_soon(daemon.read_lines)
                 await daemon.until_ready()
                 yield daemon
@@ -120,13 +121,14 @@
 
 
 class TestStopTimes(unittest.TestCase):
-    def test_no_request_is_taken_in_the_second_half(self):
-        """A caller's read is cut without an answer while a VM stops as planned.
-
-        A kept connection brings it 3.38 s after the signal, of 6 s; it waits in
-        its target's queue for 2.2 s and has just begun to run when the VM breaks
-        off what is left. The moment that kept connections have for a last
-        request came on top of the half in which new ones are taken.
+    def test_no_request_is_accepted_in_the_second_half(self):
+        """Guards against requests that get no answer during a planned stop.
+
+        A read arrived on a keep-alive connection 3.38 s after the signal, in a stop
+        of 6 s. It waited in its target's queue for 2.2 s and had just begun to run
+        when the VM canceled the remaining requests. The grace period for a last
+        request on keep-alive connections was added to the half of the stop in which
+        new connections are accepted, instead of being a part of it.
         """
         for within_s in (0.5, 2.0, 6.0, 30.0):
             last_s = accept_period_s(within_s) + STOP_GRACE_S
@@ -136,11 +138,12 @@
 
 class TestStop(unittest.TestCase):
     @on_real_clock
-    async def test_stop_cuts_no_request(self):
-        """A VM is replaced while targets work on its callers' requests.
+    async def test_stop_completes_running_requests(self):
+        """A VM is replaced while targets run its callers' requests.
 
-        Readiness and look-ups leave it out at once; what runs is answered,
-        with a hint to go elsewhere; then the process ends by itself.
+        The VM reports itself as not ready and leaves look-ups at once. It answers
+        the running requests, with `Connection: close` so that callers reconnect
+        elsewhere, and then the process exits by itself.
         """
         async with running_daemon(takes_s=0.6) as daemon:
             answers = []
@@ -150,7 +153,7 @@
 
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(ask)
-                await daemon.until_running()
+                await daemon.until_request_runs()
                 daemon.process.send_signal(signal.SIGTERM)
                 await daemon.until_line("stop requested")
                 status, _, _ = await send(
@@ -163,58 +166,60 @@
             self.assertEqual(await daemon.process.wait(), 0)
 
     @on_real_clock
-    async def test_lines_tell_in_which_step_a_process_ended(self):
-        """Lines that end in the middle of a stop do not say what ended it.
+    async def test_each_step_of_a_stop_is_logged(self):
+        """Guards against a log that does not show how a stop ended.
 
-        A fault of the program, a stop that was over early and an end from
-        outside looked the same: no line after `stop requested`.
+        A program error, a stop that ended early and a kill from outside looked
+        the same: no line after `stop requested`.
         """
         async with running_daemon() as daemon:
             daemon.process.send_signal(signal.SIGTERM)
             await daemon.until_line("stop")
             steps = [line["message"] for line in daemon.lines]
             steps = steps[steps.index("stop requested") :]
-            # A distance may be measured at any moment, also in a stop.
+            # A round-trip time may be logged at any moment, also during a stop.
             steps = [step for step in steps if step != "round trip"]
             expected = ["stop requested", "leaving announced", "no new connections"]
             self.assertEqual(steps, [*expected, "callers gone", "stop"])
 
 
 class TestSignalsWhileStopping(unittest.TestCase):
-    """A VM that drains gets a further signal.
-
-    Its callers' connections closed in that instant, with no answer, though their
-    requests ran at targets; the process wrote no line more. The receiver of
-    signals was closed at the first one that asked for a stop, and from then on
-    the system's default held, which ends the process. Evidence: it ended with
-    status -1 after SIGHUP and -15 after SIGTERM, each time, and with none of the
-    lines of an early stop or of an error.
+    """Guards against a further signal ending a VM that is draining.
+
+    The VM closed its signal receiver at the first stop signal. From then on the
+    system's default action applied, which ends the process: callers' connections
+    closed without an answer while targets ran their requests, and the log ended
+    there. The process exited with status -1 after SIGHUP and -15 after SIGTERM,
+    each time, and logged neither an early stop nor an error.
     """
 
     @on_real_clock
-    async def test_settings_that_change_cut_no_request(self):
+    async def test_reload_does_not_interrupt_requests(self):
         async with running_daemon(takes_s=1.0) as daemon:
-            await self.stop_with(daemon, signal.SIGHUP)
+            await self.check_stop_completes(daemon, signal.SIGHUP)
             self.assertTrue(await daemon.until_line("reload"))
 
     @on_real_clock
-    async def test_request_to_stop_that_is_repeated_cuts_no_request(self):
+    async def test_repeated_stop_signal_does_not_interrupt_requests(self):
         async with running_daemon(takes_s=1.0) as daemon:
-            await self.stop_with(daemon, signal.SIGTERM)
+            await self.check_stop_completes(daemon, signal.SIGTERM)
             self.assertTrue(await daemon.until_line("stop requested again"))
 
     @on_real_clock
-    async def test_signals_in_series_cut_no_request(self):
+    async def test_series_of_signals_does_not_interrupt_requests(self):
         async with running_daemon(takes_s=1.0) as daemon:
             hangup, stop = signal.SIGHUP, signal.SIGTERM
-            await self.stop_with(daemon, hangup, hangup, stop, hangup, signal.SIGINT)
+            await self.check_stop_completes(
+                daemon, hangup, hangup, stop, hangup, signal.SIGINT
+            )
 
     @on_real_clock
-    async def test_request_to_stop_repeated_until_the_end_is_no_failure(self):
-        """A supervisor that asks until the process is gone sees a failed stop.
+    async def test_stop_signals_until_the_exit_leave_status_0(self):
+        """Guards against a nonzero status when a supervisor repeats its stop signal.
 
-        All was answered and the last line written; then the system's default
-        held again until the interpreter was gone, and the status was -15.
+        All requests were answered and the last line was logged. Then the system's
+        default action applied again until the interpreter exited, and the status
+        was -15.
         """
         async with running_daemon() as daemon:
             with trio.fail_after(20):
@@ -224,7 +229,7 @@
                     await trio.sleep(0.001)
             self.assertEqual(daemon.process.returncode, 0)
 
-    async def stop_with(self, daemon, *further: int):
+    async def check_stop_completes(self, daemon, *signals: int):
         answers = []
 
         async def ask():
@@ -232,13 +237,13 @@
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(ask)
-            await daemon.until_running()
+            await daemon.until_request_runs()
             daemon.process.send_signal(signal.SIGTERM)
             await daemon.until_line("leaving announced")
-            for number in further:
+            for number in signals:
                 daemon.process.send_signal(number)
                 await trio.sleep(0.05)
-            # Otherwise the signals met no request.
+            # Make sure that the signals arrived while a request was running.
             self.assertEqual(daemon.targets[0].running, 1)
         self.assertEqual(answers[0][0], 200)
         await daemon.until_line("stop")
@@ -246,25 +251,25 @@
 
 
 class TestSignalsWhileStarting(unittest.TestCase):
-    """A VM that has just been started anew gets a signal.
+    """Guards against signals that end a VM wrongly while it restarts.
 
-    It was told that its settings changed while it loaded its modules, and ended
-    with status -1: it was away for one more start. Told to stop before its
-    sockets were open, it ended with an error. Both came before the program was
-    ready for any signal: the system's default held, and the stop counted on
-    parts that were not running yet.
+    A reload signal that arrived while the VM imported its modules ended it with
+    status -1, so it was unavailable for one more start. A stop signal that arrived
+    before its sockets were open ended it with an error. The program did not handle
+    signals yet, so the system's default action applied, and the stop relied on
+    components that were not running yet.
     """
 
     @on_real_clock
-    async def test_settings_that_change_end_no_start(self):
+    async def test_reload_does_not_interrupt_the_start(self):
         for module in ("trio", "plantainshed_gateway.daemon"):
-            program = ("-c", SIGNALLED_AT_IMPORT, module, str(int(signal.SIGHUP)))
+            program = ("-c", SIGNAL_AT_IMPORT_PROGRAM, module, str(int(signal.SIGHUP)))
             async with running_daemon(program=program) as daemon:
                 self.assertEqual((await daemon.ask())[0], 200)
                 await daemon.until_line("signalled")
 
     @on_real_clock
-    async def test_told_to_stop_before_it_serves(self):
+    async def test_stop_before_the_vm_serves(self):
         ports = free_ports(6)
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "gateway.ini"
@@ -289,7 +294,7 @@
 
 class TestReload(unittest.TestCase):
     @on_real_clock
-    async def test_taken_over_with_and_without_a_signal(self):
+    async def test_changed_file_is_applied_with_and_without_a_signal(self):
         async with running_daemon() as daemon:
             text = daemon.settings.read_text()
             daemon.settings.write_text(text.replace("ttl = 5s", "ttl = 4s"))
@@ -301,7 +306,7 @@
             self.assertFalse(line["changed"])
 
     @on_real_clock
-    async def test_unusable_file_names_its_field_and_changes_nothing(self):
+    async def test_invalid_file_is_logged_with_its_field_and_ignored(self):
         async with running_daemon() as daemon:
             text = daemon.settings.read_text()
             daemon.settings.write_text(
@@ -312,52 +317,53 @@
             self.assertEqual((await daemon.ask())[0], 200)
 
 
-class TestSettingsThatCannotBeRead(unittest.TestCase):
-    """A settings file is seen while it is written, or holds what is no setting.
+class TestUnreadableSettings(unittest.TestCase):
+    """Guards against a half-written or invalid settings file ending the VM.
 
-    The VM ended with an error and cut all its callers' requests: the look for a
-    changed file read bytes as text, and a port of ``inf`` or ``nan`` passed for a
-    number until it was made a whole one. Evidence: the tracebacks.
+    The VM ended with an error and cut off all its callers' requests. The check for
+    a changed file decoded arbitrary bytes as text, and a port of ``inf`` or ``nan``
+    was accepted as a number until it was converted to an integer. The tracebacks
+    showed both.
     """
 
     @on_real_clock
-    async def test_bytes_that_are_no_text(self):
-        await self.serves_on(lambda text: b"\xff\xfe" + text, "codec")
+    async def test_bytes_that_are_not_text(self):
+        await self.check_keeps_serving(lambda text: b"\xff\xfe" + text, "codec")
 
     @on_real_clock
-    async def test_numbers_that_are_no_ports(self):
+    async def test_numbers_that_are_not_ports(self):
         for number in (b"inf", b"nan", b"1e400"):
-            await self.serves_on(
+            await self.check_keeps_serving(
                 lambda text, number=number: re.sub(
                     rb"datagram_port = \d+", b"datagram_port = " + number, text
                 ),
                 "datagram_port",
             )
 
-    async def serves_on(self, spoil, named: str):
+    async def check_keeps_serving(self, corrupt, expected: str):
         async with running_daemon() as daemon:
-            whole = daemon.settings.read_bytes()
-            daemon.settings.write_bytes(spoil(whole))
+            original = daemon.settings.read_bytes()
+            daemon.settings.write_bytes(corrupt(original))
             line = await daemon.until_line("reload failed")
             self.assertIn("gateway.ini", line["problem"])
-            self.assertIn(named, line["problem"])
+            self.assertIn(expected, line["problem"])
             self.assertEqual((await daemon.ask())[0], 200)
-            daemon.settings.write_bytes(whole)
+            daemon.settings.write_bytes(original)
             await daemon.until_line("reload")
             self.assertEqual((await daemon.ask())[0], 200)
 
 
-class TestStuckReader(unittest.TestCase):
+class TestUnreadOutput(unittest.TestCase):
     @on_real_clock
-    async def test_unread_output_delays_no_request(self):
-        """Nobody reads standard output; the pipe fills after some 200 lines.
+    async def test_unread_output_does_not_delay_requests(self):
+        """Nobody reads standard output, and the pipe is full after about 200 lines.
 
-        A write would then wait, and with it every caller.
+        A write would then block, and every caller with it.
         """
-        async with running_daemon(reads_lines=False) as daemon:
+        async with running_daemon(reads_output=False) as daemon:
             for _ in range(600):
-                # A route without a quota: one caller alone asks for more than the
-                # rate of the workspace where the machine is fast enough.
+                # Use a route without a quota: on a fast machine, a single caller
+                # exceeds the rate of the workspace.
                 self.assertEqual((await daemon.ask("/open/1"))[0], 200)
             status, _, body = await send(
                 daemon.metrics, "GET", "/metrics", {"host": "x"}
@@ -367,37 +373,37 @@
 
 
 class TestStart(unittest.TestCase):
-    def test_unusable_settings_are_named_at_the_terminal(self):
+    def test_invalid_settings_are_reported_on_stderr(self):
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "gateway.ini"
             path.write_text("[vm]\nname = x\n")
-            ended = subprocess.run(
+            result = subprocess.run(
                 [sys.executable, "-m", "plantainshed_platform"],
                 env={**os.environ, "PLANTAINSHED_NODE_FILE": str(path)},
                 capture_output=True,
                 text=True,
                 timeout=30,
             )
-        self.assertEqual(ended.returncode, 2)
-        self.assertIn("[failure_domains]", ended.stderr)
+        self.assertEqual(result.returncode, 2)
+        self.assertIn("[failure_domains]", result.stderr)
 
     @on_real_clock
-    async def test_end_by_an_error_is_a_line_too(self):
-        """A traceback on standard error is not where the lines are looked for."""
+    async def test_fatal_error_is_logged(self):
+        """A fatal error is logged, because operators read the log, not stderr."""
         ports = free_ports(6)
-        with tempfile.TemporaryDirectory() as folder, socket.socket() as taken:
-            taken.bind((IP, ports[0]))
-            taken.listen()
+        with tempfile.TemporaryDirectory() as folder, socket.socket() as occupied:
+            occupied.bind((IP, ports[0]))
+            occupied.listen()
             path = Path(folder) / "gateway.ini"
             path.write_text(filled_template("127.0.0.1:9", ports))
-            ended = await trio.run_process(
+            result = await trio.run_process(
                 [sys.executable, "-m", "plantainshed_platform"],
                 env={**os.environ, "PLANTAINSHED_NODE_FILE": str(path)},
                 capture_stdout=True,
                 capture_stderr=True,
                 check=False,
             )
-        last = orjson.loads(ended.stdout.splitlines()[-1])
+        last = orjson.loads(result.stdout.splitlines()[-1])
         self.assertEqual(last["message"], "ended by error")
         self.assertIn("Address already in use", last["traceback"])
-        self.assertEqual(ended.returncode, 1)
+        self.assertEqual(result.returncode, 1)
--- a/tests/platform/test_escapes.py
+++ b/tests/platform/test_escapes.py
@@ -1,4 +1,4 @@
-"""What a caller, or a settings file, must not be able to end the gateway with."""
+"""Requests that must not end the gateway or the requests of other callers."""
 
 import re
 import signal
@@ -12,34 +12,39 @@
 
 
 class TestRequestsThatEndTheProcess(unittest.TestCase):
-    """One caller's odd request cuts the requests of all others.
+    """Guards against one caller's malformed request ending all other requests.
 
-    The server raises while it refuses, or the handler while it reads; the error
-    leaves the connection's task, its nursery, and the process.
+    The server raised an exception while it refused the request, or the handler did
+    while it read it. The exception left the connection's task and its nursery and
+    ended the process.
     """
 
     @on_real_clock
-    async def test_head_with_a_target_that_is_refused(self):
-        await self.cuts_no_other(b"HEAD * HTTP/1.1\r\nhost: x\r\n\r\n")
+    async def test_head_with_an_invalid_target(self):
+        await self.check_other_request_completes(b"HEAD * HTTP/1.1\r\nhost: x\r\n\r\n")
 
     @on_real_clock
-    async def test_head_whose_caller_leaves_in_its_body(self):
-        await self.cuts_no_other(
+    async def test_head_whose_caller_disconnects_in_the_body(self):
+        await self.check_other_request_completes(
             b"HEAD /read/1 HTTP/1.1\r\nhost: x\r\ncontent-length: 5\r\n\r\n12"
         )
 
     @on_real_clock
-    async def test_lookup_whose_target_looks_like_an_address(self):
-        await self.cuts_no_other(b"GET //[ HTTP/1.1\r\nhost: x\r\n\r\n", "lookup")
+    async def test_lookup_whose_request_target_looks_like_an_address(self):
+        await self.check_other_request_completes(
+            b"GET //[ HTTP/1.1\r\nhost: x\r\n\r\n", "lookup"
+        )
 
     @on_real_clock
-    async def test_revision_of_too_many_digits(self):
+    async def test_revision_with_too_many_digits(self):
         path = b"/state/configuration?after=" + 5000 * b"9"
-        await self.cuts_no_other(
+        await self.check_other_request_completes(
             b"GET " + path + b" HTTP/1.1\r\nhost: x\r\n\r\n", "control"
         )
 
-    async def cuts_no_other(self, data: bytes, where: str = "callers"):
+    async def check_other_request_completes(
+        self, data: bytes, listener: str = "callers"
+    ):
         async with running_daemon(takes_s=0.6) as daemon:
             answers = []
 
@@ -48,8 +53,8 @@
 
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(ask)
-                await daemon.until_running()
-                host, _, port = self.address_of(daemon, where).rpartition(":")
+                await daemon.until_request_runs()
+                host, _, port = self.address_of(daemon, listener).rpartition(":")
                 stream = await trio.open_tcp_stream(host, int(port))
                 async with stream:
                     await stream.send_all(data)
@@ -59,20 +64,21 @@
             self.assertEqual(answers[0][0], 200)
             self.assertIsNone(daemon.process.poll())
 
-    def address_of(self, daemon, where: str) -> str:
-        if where != "control":
-            return getattr(daemon, where)
+    def address_of(self, daemon, listener: str) -> str:
+        if listener != "control":
+            return getattr(daemon, listener)
         return re.search(r"(?m)^control = (.*)$", daemon.settings.read_text())[1]
 
 
-class TestRequestThatIsReadLateInAStop(unittest.TestCase):
+class TestRequestReceivedLateInAStop(unittest.TestCase):
     @on_real_clock
     async def test_it_is_answered_or_refused(self):
-        """A caller whose head arrives slowly loses its request in a stop.
+        """Guards against losing a request whose head arrives slowly during a stop.
 
-        Its connection was taken in the first half; the rest of its head comes
-        late in the second. The VM passes it on although what is left of the time
-        to stop is less than targets take, and breaks it off.
+        The VM accepts the connection in the first half of the stop, and the rest
+        of the head arrives late in the second half. The VM forwarded the request
+        although targets need longer than the remaining time, and then canceled it
+        without an answer.
         """
         async with running_daemon(takes_s=0.6) as daemon:
             host, _, port = daemon.callers.rpartition(":")
@@ -98,10 +104,10 @@
             self.assertRegex(answer, rb"^HTTP/1\.1 \d{3} ", messages[-6:])
 
 
-class TestEndWithAStuckReader(unittest.TestCase):
+class TestStopWithUnreadOutput(unittest.TestCase):
     @on_real_clock
-    async def test_stop_ends_in_order_though_nobody_reads(self):
-        async with running_daemon(reads_lines=False) as daemon:
+    async def test_process_exits_cleanly(self):
+        async with running_daemon(reads_output=False) as daemon:
             for _ in range(600):
                 await daemon.ask("/open/1")
             daemon.process.send_signal(signal.SIGTERM)
