--- a/tests/platform/test_escapes_of_the_store.py
+++ b/tests/platform/test_escapes_of_the_store.py
@@ -1,4 +1,4 @@
-"""Answers of the store that must not end a VM."""
+"""Tests that unexpected answers of the store do not end a VM."""
 
 import unittest
 
@@ -9,29 +9,29 @@
 from tests.support import on_real_clock
 
 
-class TestAnswersOfAnotherShape(unittest.TestCase):
+class TestUnexpectedAnswers(unittest.TestCase):
     """`Follower.run` and `_sync_vms` await these calls and catch `StoreUnavailable`.
 
-    Anything else leaves their task, the nursery, and ends the process.
+    Any other exception leaves their task and the nursery and ends the process.
     """
 
     @on_real_clock
     async def test_success_without_a_body(self):
-        await self.is_unavailable(200, b"")
+        await self.check_raises_unavailable(200, b"")
 
     @on_real_clock
-    async def test_success_of_another_shape(self):
-        await self.is_unavailable(200, b"[]")
+    async def test_success_with_an_unexpected_body(self):
+        await self.check_raises_unavailable(200, b"[]")
 
     @on_real_clock
     async def test_conflict_for_a_read(self):
-        await self.is_unavailable(409, b"{}")
+        await self.check_raises_unavailable(409, b"{}")
 
     @on_real_clock
     async def test_gone_for_a_list(self):
-        await self.is_unavailable(410, b"{}")
+        await self.check_raises_unavailable(410, b"{}")
 
-    async def is_unavailable(self, status: int, body: bytes):
+    async def check_raises_unavailable(self, status: int, body: bytes):
         async def answer(exchange):
             await exchange.reply(status, [], body)
 
--- a/tests/platform/test_fuzz.py
+++ b/tests/platform/test_fuzz.py
@@ -1,8 +1,8 @@
-"""Random and mutated input against everything that reads bytes from outside.
+"""Tests every decoder of external input with random and mutated input.
 
-The profile is fixed, so each run tries the same inputs. An outcome is a value
-or the error that names what is wrong; anything else would end a task, and with
-it what other callers rely on.
+The profile is derandomized, so each run tries the same inputs. A decoder must
+return a value or raise the error that names the problem. Any other exception would
+end a task that other callers depend on.
 """
 
 import copy
@@ -55,7 +55,7 @@
 
 
 def places(value, path=()):
-    """Return the paths of all values inside a JSON value."""
+    """Yield the path of a JSON value and of every value nested in it."""
     yield path
     children = ()
     if isinstance(value, dict):
@@ -67,7 +67,7 @@
 
 
 def replaced(value, path, new):
-    """Return a copy with one place replaced, or taken out if `new` is ...."""
+    """Return a copy with the value at `path` replaced, or removed if `new` is `...`."""
     if not path:
         return new
     value = copy.deepcopy(value)
@@ -82,7 +82,7 @@
 
 
 def mutated(value):
-    """Return a strategy for values that differ in one place."""
+    """Return a strategy for copies of `value` that differ from it in one place."""
     return st.tuples(st.sampled_from(list(places(value))[1:]), JSON | st.just(...)).map(
         lambda change: replaced(value, *change)
     )
--- a/tests/platform/test_reload_effects.py
+++ b/tests/platform/test_reload_effects.py
@@ -1,4 +1,4 @@
-"""What a reload takes over, as others see it."""
+"""Tests the effects of a settings reload that are visible from outside."""
 
 import re
 import unittest
@@ -19,8 +19,8 @@
 
 class TestEffects(unittest.TestCase):
     @on_real_clock
-    async def test_shorter_life_of_lookups_is_in_force(self):
-        """The line says `changed`, and answers go on with the old time."""
+    async def test_shorter_lookup_ttl_is_applied(self):
+        """Guards against a reload that logs `changed` but keeps the old TTL."""
         async with running_daemon() as daemon:
             before = (await look_up(daemon))[1]["ttl"]
             text = daemon.settings.read_text()
@@ -32,8 +32,8 @@
             self.assertEqual(after, "1000ms", f"{before} before")
 
     @on_real_clock
-    async def test_lookups_name_only_where_this_vm_listens(self):
-        """A new port in the file is announced though nobody listens there."""
+    async def test_lookups_contain_only_addresses_that_this_vm_listens_on(self):
+        """Guards against announcing a new port that has no listener."""
         async with running_daemon() as daemon:
             text = daemon.settings.read_text()
             port = daemon.callers.rpartition(":")[2]
@@ -46,17 +46,17 @@
             self.assertEqual(body["addrs"], [daemon.callers])
 
     @on_real_clock
-    async def test_seed_that_is_no_host_ends_no_vm(self):
-        """A seed with a zero byte in it: sending raised what is no `OSError`."""
-        await self.refuses(r"^seeds =.*$", "seeds = 10.0.0\\0.1:7000", "seeds")
+    async def test_seed_that_is_not_a_host_is_rejected(self):
+        """Sending to a seed with a zero byte raised an error other than `OSError`."""
+        await self.check_rejected(r"^seeds =.*$", "seeds = 10.0.0\\0.1:7000", "seeds")
 
     @on_real_clock
-    async def test_window_of_no_length_ends_no_request(self):
-        """Rates were divided by it: requests ended with 502, then the process."""
+    async def test_window_of_zero_length_is_rejected(self):
+        """Rates are divided by the window: requests got 502, then the process ended."""
         for option in ("quota_window", "retry_window"):
-            await self.refuses(rf"^{option} =.*$", f"{option} = 0s", option)
+            await self.check_rejected(rf"^{option} =.*$", f"{option} = 0s", option)
 
-    async def refuses(self, pattern: str, line: str, option: str):
+    async def check_rejected(self, pattern: str, line: str, option: str):
         async with running_daemon() as daemon:
             text = daemon.settings.read_text()
             changed = re.sub(f"(?m){pattern}", line, text)
@@ -64,6 +64,7 @@
             daemon.settings.write_text(changed)
             failed = await daemon.until_line("reload failed")
             self.assertIn(option, failed["problem"])
-            # Three heartbeats, which go to seeds while nobody else is known.
+            # Wait for three heartbeats, which go to the seeds while no other VM is
+            # known.
             await trio.sleep(1.6)
             self.assertEqual((await daemon.ask())[0], 200)
--- a/tests/platform/test_signal_spam.py
+++ b/tests/platform/test_signal_spam.py
@@ -1,4 +1,4 @@
-"""Signals without a pause until the process has ended."""
+"""Tests signals that are sent continuously until the process has exited."""
 
 import signal
 import unittest
@@ -9,17 +9,17 @@
 from tests.support import on_real_clock
 
 
-class TestSignalsToTheLastMoment(unittest.TestCase):
+class TestSignalsUntilExit(unittest.TestCase):
     @on_real_clock
     async def test_hangups(self):
-        await self.ends_in_order(signal.SIGHUP)
+        await self.check_exits_cleanly(signal.SIGHUP)
 
     @on_real_clock
-    async def test_requests_to_stop(self):
-        """Failed with status -15 on 03c2463; 7c680fe mended it meanwhile."""
-        await self.ends_in_order(signal.SIGTERM)
+    async def test_stop_signals(self):
+        """The process exited with status -15 on 03c2463; 7c680fe fixed it."""
+        await self.check_exits_cleanly(signal.SIGTERM)
 
-    async def ends_in_order(self, number: int):
+    async def check_exits_cleanly(self, number: int):
         for _ in range(3):
             async with running_daemon() as daemon:
                 daemon.process.send_signal(signal.SIGTERM)
--- a/tests/platform/test_stop_lines.py
+++ b/tests/platform/test_stop_lines.py
@@ -1,4 +1,4 @@
-"""Lines that tell what ended a process, beside those of many requests."""
+"""Tests that the log lines of a stop are written under a high rate of requests."""
 
 import io
 import unittest
@@ -9,12 +9,13 @@
 from tests.support import on_real_clock
 
 
-class TestLinesOfAStopUnderLoad(unittest.TestCase):
+class TestStopLinesUnderLoad(unittest.TestCase):
     @on_real_clock
-    async def test_they_are_written_though_others_are_dropped(self):
-        """A VM over its rate of lines is told to stop: no line says so.
+    async def test_stop_lines_are_written_while_others_are_dropped(self):
+        """Guards against losing the line of a stop when a VM exceeds its log rate.
 
-        The page then reads: ended from outside.
+        Without that line, the log page reports that the process was ended from
+        outside.
         """
         stream = io.StringIO()
         log = DecisionLog("a", "d", stream)
--- a/tests/platform/test_stop_storm.py
+++ b/tests/platform/test_stop_storm.py
@@ -1,4 +1,4 @@
-"""New connections without a pause while a VM stops."""
+"""Tests new connections that are opened continuously while a VM stops."""
 
 import unittest
 
@@ -11,27 +11,28 @@
 WORKERS = 40
 
 
-class TestStorm(unittest.TestCase):
+class TestConnectionsDuringStop(unittest.TestCase):
     @on_real_clock
     async def test_each_connection_that_opens_is_answered(self):
-        """Callers open a connection for each request while a VM stops.
+        """Guards against connection resets while a VM stops.
 
-        Those that the system has accepted and the server not, when it closes its
-        socket, are reset after their request was sent.
+        Callers open a connection for each request. Connections that the system had
+        accepted but the server had not were reset when the server closed its
+        listening socket, after their request was sent.
         """
-        seen = {"answered": 0, "refused to connect": 0, "reset after sending": 0}
+        counts = {"answered": 0, "refused to connect": 0, "reset after sending": 0}
         request = (
             f"GET /open/1 HTTP/1.1\r\nhost: {HOST}\r\nrequest-id: r-2\r\n"
             f"affinity-key: 7\r\nauthorization: Bearer {KEY}\r\n\r\n"
         ).encode()
 
-        async def work(daemon):
+        async def send_requests(daemon):
             host, _, port = daemon.callers.rpartition(":")
             while True:
                 try:
                     stream = await trio.open_tcp_stream(host, int(port))
                 except OSError:
-                    seen["refused to connect"] += 1
+                    counts["refused to connect"] += 1
                     return
                 async with stream:
                     try:
@@ -39,13 +40,13 @@
                         answer = await stream.receive_some(1000)
                     except trio.BrokenResourceError:
                         answer = b""
-                    seen["answered" if answer else "reset after sending"] += 1
+                    counts["answered" if answer else "reset after sending"] += 1
 
         async with running_daemon() as daemon:
             async with trio.open_nursery() as nursery:
                 for _ in range(WORKERS):
-                    nursery.start_soon(work, daemon)
+                    nursery.start_soon(send_requests, daemon)
                 await trio.sleep(0.2)
                 daemon.process.terminate()
             await daemon.until_line("stop")
-        self.assertEqual(seen["reset after sending"], 0, seen)
+        self.assertEqual(counts["reset after sending"], 0, counts)
