--- a/tests/platform/platform_support.py
+++ b/tests/platform/platform_support.py
@@ -131,7 +131,7 @@
                 await trio.sleep(0.01)
 
     def lines(self, event: str) -> list[dict]:
-        """Return the log lines with one message."""
+        """Return the log lines with the given message."""
         lines = [orjson.loads(line) for line in self.log.getvalue().splitlines()]
         return [line for line in lines if line["message"] == event]
 
--- a/tests/platform/test_escapes.py
+++ b/tests/platform/test_escapes.py
@@ -11,7 +11,7 @@
 from tests.support import on_real_clock
 
 
-class TestRequestsThatEndTheProcess(unittest.TestCase):
+class TestMalformedRequests(unittest.TestCase):
     """Guards against one caller's malformed request ending all other requests.
 
     The server raised an exception while it refused the request, or the handler did
--- a/tests/platform/test_signal_spam.py
+++ b/tests/platform/test_signal_spam.py
@@ -19,13 +19,13 @@
         """The process exited with status -15 on 03c2463; 7c680fe fixed it."""
         await self.check_exits_cleanly(signal.SIGTERM)
 
-    async def check_exits_cleanly(self, number: int):
+    async def check_exits_cleanly(self, signal_number: int):
         for _ in range(3):
             async with running_daemon() as daemon:
                 daemon.process.send_signal(signal.SIGTERM)
                 await daemon.until_line("no new connections")
                 with trio.fail_after(10):
                     while daemon.process.poll() is None:
-                        daemon.process.send_signal(number)
+                        daemon.process.send_signal(signal_number)
                         await trio.sleep(0.0005)
                 self.assertEqual(daemon.process.returncode, 0)
--- a/tests/platform/test_stop_lines.py
+++ b/tests/platform/test_stop_lines.py
@@ -14,8 +14,8 @@
     async def test_stop_lines_are_written_while_others_are_dropped(self):
         """Guards against losing the line of a stop when a VM exceeds its log rate.
 
-        Without that line, the log page reports that the process was ended from
-        outside.
+        Without that line, the log reads as if something outside had ended the
+        process.
         """
         stream = io.StringIO()
         log = DecisionLog("a", "d", stream)
