--- a/tests/platform/store_standin.py
+++ b/tests/platform/store_standin.py
@@ -24,7 +24,7 @@
         Whether writes take effect but get no answer.
     oldest_revision : int
         The oldest revision that can be watched; watches from below it get 410.
-    page : int
+    page_size : int
         Maximum number of objects in the answer to a list.
     calls : list of str
         Method and request target of each call.
@@ -36,7 +36,7 @@
     answers: str = "yes"
     loses_answers: bool = False
     oldest_revision: int = 0
-    page: int = 500
+    page_size: int = 500
     calls: list[str] = field(factory=list)
     changed: trio.Event = field(factory=trio.Event)
     watching: int = 0
@@ -121,8 +121,8 @@
 
     def _list(self, kind, after):
         names = sorted(n for n in self.objects.get(kind, {}) if n > after)
-        items = [self.objects[kind][name] for name in names[: self.page]]
-        has_more = len(names) > self.page
+        items = [self.objects[kind][name] for name in names[: self.page_size]]
+        has_more = len(names) > self.page_size
         return 200, {"items": items, "hasMore": has_more, "currentRev": self.revision}
 
     async def _watch(self, kind, revision, wait_ms):
