--- a/packages/measure/plantainshed_measure/rig.py
+++ b/packages/measure/plantainshed_measure/rig.py
@@ -20,7 +20,7 @@
 from plantainshed_entry.settings import Seed, Settings
 from plantainshed_model.codec import from_segments, to_segments
 from plantainshed_model.document import Document
-from plantainshed_model.keys import KEY_ID_BYTES, SECRET_BYTES, IssuedKey, key_of
+from plantainshed_model.keys import KEY_ID_BYTES, SECRET_BYTES, IssuedKey, make_key
 from plantainshed_standins.memory_network import MemoryNetwork
 from plantainshed_standins.memory_platform import MemoryPlatform
 
@@ -295,7 +295,7 @@
     """
     source = random.Random(seed)
     return {
-        item.name: key_of(
+        item.name: make_key(
             item.name,
             source.randbytes(KEY_ID_BYTES).hex(),
             source.randbytes(SECRET_BYTES).hex(),
--- a/packages/model/plantainshed_model/keys.py
+++ b/packages/model/plantainshed_model/keys.py
@@ -37,12 +37,12 @@
 
 def issue_key(workspace: str) -> IssuedKey:
     """Make a new key for a workspace."""
-    return key_of(
+    return make_key(
         workspace, secrets.token_hex(KEY_ID_BYTES), secrets.token_hex(SECRET_BYTES)
     )
 
 
-def key_of(workspace: str, id_digits: str, secret: str) -> IssuedKey:
+def make_key(workspace: str, id_digits: str, secret: str) -> IssuedKey:
     """Return a workspace's key with the given digits in hexadecimal."""
     key_id = KEY_ID_LETTER + id_digits
     text = f"{KEY_PREFIX}_{key_id}_{secret}"
