--- a/packages/model/plantainshed_model/blocks.py
+++ b/packages/model/plantainshed_model/blocks.py
@@ -39,15 +39,17 @@
 
     def __init__(self, blocks: Iterable):
         self.domains: list[str] = []
-        numbers: dict[str, int] = {}
+        domain_indexes: dict[str, int] = {}
         rows = {4: [], 6: []}
         for block in blocks:
             network = ipaddress.ip_network(block.cidr)
-            number = numbers.setdefault(block.failure_domain, len(numbers))
-            if number == len(self.domains):
+            domain_index = domain_indexes.setdefault(
+                block.failure_domain, len(domain_indexes)
+            )
+            if domain_index == len(self.domains):
                 self.domains.append(block.failure_domain)
             rows[network.version].append(
-                (int(network.network_address), network.prefixlen, number)
+                (int(network.network_address), network.prefixlen, domain_index)
             )
         self._families = {
             4: _FamilyTable(rows[4], 32),
@@ -70,7 +72,9 @@
         index = family.find(int(parsed))
         if index == NO_PARENT:
             return None
-        return BlockMatch(index, parsed.version, self.domains[family.numbers[index]])
+        return BlockMatch(
+            index, parsed.version, self.domains[family.domain_indexes[index]]
+        )
 
 
 class _FamilyTable:
@@ -81,35 +85,37 @@
         self.bits = bits
         # Only the upper 64 bits of an IPv6 address route; longer prefixes than
         # /64 are cut to it, as their hosts share one link.
-        self.drop = 64 if bits == 128 else 0
+        self.dropped_bits = 64 if bits == 128 else 0
         self.starts = array("Q" if bits == 128 else "L")
         if bits == 32:
             self.starts = array("I")
         self.lengths = array("B")
-        self.numbers = array("H")
+        self.domain_indexes = array("H")
         self.parents = array("i")
-        open_blocks = []
-        for start, length, number in rows:
+        enclosing = []
+        for start, length, domain_index in rows:
             index = len(self.starts)
-            self.starts.append(start >> self.drop)
-            self.lengths.append(min(length, bits - self.drop))
-            self.numbers.append(number)
-            while open_blocks and not self._holds(open_blocks[-1], start >> self.drop):
-                open_blocks.pop()
-            self.parents.append(open_blocks[-1] if open_blocks else NO_PARENT)
-            open_blocks.append(index)
+            self.starts.append(start >> self.dropped_bits)
+            self.lengths.append(min(length, bits - self.dropped_bits))
+            self.domain_indexes.append(domain_index)
+            while enclosing and not self._contains(
+                enclosing[-1], start >> self.dropped_bits
+            ):
+                enclosing.pop()
+            self.parents.append(enclosing[-1] if enclosing else NO_PARENT)
+            enclosing.append(index)
 
     def __len__(self):
         return len(self.starts)
 
     def find(self, address: int) -> int:
         """Return the index of the longest block with the address, or NO_PARENT."""
-        value = address >> self.drop
+        value = address >> self.dropped_bits
         index = bisect_right(self.starts, value) - 1
-        while index != NO_PARENT and not self._holds(index, value):
+        while index != NO_PARENT and not self._contains(index, value):
             index = self.parents[index]
         return index
 
-    def _holds(self, index, value):
-        shift = self.bits - self.drop - self.lengths[index]
+    def _contains(self, index, value):
+        shift = self.bits - self.dropped_bits - self.lengths[index]
         return self.starts[index] >> shift == value >> shift
--- a/packages/model/plantainshed_model/checks.py
+++ b/packages/model/plantainshed_model/checks.py
@@ -174,9 +174,9 @@
             )
 
 
-def _check_known(path, name, known, what):
+def _check_known(path, name, known, kind):
     if name not in known:
-        yield Fault(path, f"{name!r} is not a {what} of this document")
+        yield Fault(path, f"{name!r} is not a {kind} of this document")
 
 
 def _check_number(path, value, lowest, highest):
--- a/packages/model/plantainshed_model/codec.py
+++ b/packages/model/plantainshed_model/codec.py
@@ -48,7 +48,7 @@
     try:
         return converter.structure(fields, Document)
     except (ClassValidationError, IterableValidationError) as error:
-        faults = [_fault(line) for line in transform_error(error)]
+        faults = [_parse_error(line) for line in transform_error(error)]
         raise InvalidDocument(faults) from error
 
 
@@ -73,14 +73,16 @@
     fields = to_fields(document)
     segments = {}
     for segment, names in SEGMENT_FIELDS.items():
-        segments[segment] = _dump({name: fields[name] for name in names})
-    for index, keys in _shards(fields["keys"], "key_id", KEY_SHARDS):
-        segments[f"keys-{index:02d}"] = _dump({"keys": keys})
-    for index, blocks in _shards(fields["blocks"], "cidr", BLOCK_SHARDS):
+        segments[segment] = _canonical_json({name: fields[name] for name in names})
+    for index, keys in _group_by_shard(fields["keys"], "key_id", KEY_SHARDS):
+        segments[f"keys-{index:02d}"] = _canonical_json({"keys": keys})
+    for index, blocks in _group_by_shard(fields["blocks"], "cidr", BLOCK_SHARDS):
         grouped = {}
         for block in blocks:
             grouped.setdefault(block["failure_domain"], []).append(block["cidr"])
-        segments[f"{BLOCKS_PREFIX}{index:02d}"] = _dump({BLOCKS_BY_DOMAIN: grouped})
+        segments[f"{BLOCKS_PREFIX}{index:02d}"] = _canonical_json(
+            {BLOCKS_BY_DOMAIN: grouped}
+        )
     return segments
 
 
@@ -112,21 +114,21 @@
                     yield ClientBlock(cidr, failure_domain)
 
 
-def _shards(items: list[dict], name_field: str, count: int):
+def _group_by_shard(items: list[dict], name_field: str, count: int):
     shards = [[] for _ in range(count)]
     for item in items:
-        shards[_shard(item[name_field], count)].append(item)
+        shards[_shard_index(item[name_field], count)].append(item)
     return [(index, items) for index, items in enumerate(shards) if items]
 
 
-def _dump(fields: dict) -> bytes:
+def _canonical_json(fields: dict) -> bytes:
     return json.dumps(fields, sort_keys=True, separators=(",", ":")).encode()
 
 
-def _shard(name: str, count: int) -> int:
+def _shard_index(name: str, count: int) -> int:
     return xxhash.xxh64_intdigest(name.encode()) % count
 
 
-def _fault(line: str) -> Fault:
+def _parse_error(line: str) -> Fault:
     message, _, path = line.rpartition(" @ ")
     return Fault(path.removeprefix("$.") or "document", message)
--- a/packages/model/plantainshed_model/commands.py
+++ b/packages/model/plantainshed_model/commands.py
@@ -22,22 +22,22 @@
 
 def put_workspace(document: Document, workspace: Workspace) -> Document:
     """Add a workspace, or change the one of the same name."""
-    return evolve(document, workspaces=_put(document.workspaces, workspace))
+    return evolve(document, workspaces=_add_or_replace(document.workspaces, workspace))
 
 
 def put_pool(document: Document, pool: Pool) -> Document:
     """Add a pool, or change the one of the same name."""
-    return evolve(document, pools=_put(document.pools, pool))
+    return evolve(document, pools=_add_or_replace(document.pools, pool))
 
 
 def put_target(document: Document, target: Target) -> Document:
     """Add a target, or change the one of the same name."""
-    return evolve(document, targets=_put(document.targets, target))
+    return evolve(document, targets=_add_or_replace(document.targets, target))
 
 
 def put_shift(document: Document, shift: Shift) -> Document:
     """Start a shift, or change the one of the same name."""
-    return evolve(document, shifts=_put(document.shifts, shift))
+    return evolve(document, shifts=_add_or_replace(document.shifts, shift))
 
 
 def set_shift_state(document: Document, name: str, state: ShiftState) -> Document:
@@ -95,7 +95,7 @@
     )
 
 
-def _put(items, new):
+def _add_or_replace(items, new):
     names = [item.name for item in items]
     if new.name not in names:
         return (*items, new)
--- a/packages/model/plantainshed_model/keys.py
+++ b/packages/model/plantainshed_model/keys.py
@@ -14,7 +14,7 @@
 
 KEY_PREFIX = "psk"
 # Digits alone would be read as a number by shells, sheets and command lines.
-KEY_ID_LETTER = "k"
+KEY_ID_PREFIX = "k"
 KEY_ID_BYTES = 6
 SECRET_BYTES = 24
 
@@ -44,14 +44,14 @@
 
 def make_key(workspace: str, id_digits: str, secret: str) -> IssuedKey:
     """Return a workspace's key with the given digits in hexadecimal."""
-    key_id = KEY_ID_LETTER + id_digits
+    key_id = KEY_ID_PREFIX + id_digits
     text = f"{KEY_PREFIX}_{key_id}_{secret}"
     return IssuedKey(text, KeyDigest(key_id, workspace, key_digest(text)))
 
 
 def is_key_id(text: str) -> bool:
     """Tell whether the text can be the public part of a key."""
-    digits = text.removeprefix(KEY_ID_LETTER)
+    digits = text.removeprefix(KEY_ID_PREFIX)
     return len(digits) == 2 * KEY_ID_BYTES and set(digits) <= set("0123456789abcdef")
 
 
--- a/packages/operator/plantainshed/changes.py
+++ b/packages/operator/plantainshed/changes.py
@@ -24,7 +24,7 @@
 
 from .context import OperatorContext
 from .errors import BadUsage, EditConflict, Unconfirmed, Unreachable
-from .views import Current, current
+from .views import StoredDocument, load_current
 
 Edit = Callable[[Document], Document]
 EDIT_ATTEMPTS = 5
@@ -46,13 +46,13 @@
     """
 
     key_id: str
-    told: str
+    notified_control: str
     revision: Revision | None
 
 
 async def replace(
     context: OperatorContext,
-    base: Current,
+    base: StoredDocument,
     document: Document,
     reason: str,
     change_id: str = "",
@@ -81,11 +81,11 @@
     try:
         return await context.store.commit(change)
     except StaleBase as error:
-        theirs = await current(context)
+        newest = await load_current(context)
         raise EditConflict(
-            f"{error}; version {theirs.revision.version} is by "
-            f"{theirs.revision.author}: {theirs.revision.reason}",
-            differences(base.document, theirs.document),
+            f"{error}; version {newest.revision.version} is by "
+            f"{newest.revision.author}: {newest.revision.reason}",
+            differences(base.document, newest.document),
         ) from error
     except CommitUnconfirmed as error:
         raise Unconfirmed(
@@ -104,7 +104,7 @@
     """
     attempts_left = EDIT_ATTEMPTS
     while True:
-        base = await current(context)
+        base = await load_current(context)
         attempts_left -= 1
         try:
             return await replace(context, base, change(base.document), reason)
@@ -132,19 +132,19 @@
     """
     if not is_key_id(key_id):
         raise BadUsage(f"key_id: {key_id!r} is not a key id; 'key list' shows them")
-    told = await _tell_fleet(context, key_id)
+    notified_control = await _notify_fleet(context, key_id)
     revision = None
     try:
         revision = await edit(
             context, lambda document: commands.withdraw_key(document, key_id), reason
         )
     except (Unreachable, Unconfirmed):
-        if not told:
+        if not notified_control:
             raise
-    return Withdrawal(key_id, told, revision)
+    return Withdrawal(key_id, notified_control, revision)
 
 
-async def _tell_fleet(context: OperatorContext, key_id: str) -> str:
+async def _notify_fleet(context: OperatorContext, key_id: str) -> str:
     arguments = orjson.dumps({"key_id": key_id})
     for control in context.settings.controls:
         try:
--- a/packages/operator/plantainshed/cli/__init__.py
+++ b/packages/operator/plantainshed/cli/__init__.py
@@ -24,11 +24,11 @@
     try:
         fire.Fire(Plantainshed, name="plantainshed")
     except (OperatorError, ModelError) as error:
-        _explain(error)
+        _print_error(error)
         sys.exit(EXIT_CODES.get(type(error), ExitCode.FAILED))
 
 
-def _explain(error: Exception):
+def _print_error(error: Exception):
     if isinstance(error, InvalidDocument):
         print("plantainshed: the document is not valid:", file=sys.stderr)
         for fault in error.faults:
--- a/packages/operator/plantainshed/cli/commands.py
+++ b/packages/operator/plantainshed/cli/commands.py
@@ -77,9 +77,9 @@
         deployment : str
             Folder under examples: cerimonia or maracas-bay.
         """
-        from ..demo.story import run_demo, show
+        from ..demo.story import print_outcomes, run_demo
 
         outcomes = trio.run(run_demo, deployment)
-        show(outcomes)
+        print_outcomes(outcomes)
         if outcomes.violations():
             sys.exit(ExitCode.FAILED)
--- a/packages/operator/plantainshed/cli/document_commands.py
+++ b/packages/operator/plantainshed/cli/document_commands.py
@@ -10,7 +10,7 @@
 
 from ..changes import replace
 from ..errors import BadUsage
-from ..views import at_version, current, history
+from ..views import history, load_current, load_version
 from .output import print_json, print_revision, print_rows
 from .session import Session
 
@@ -26,9 +26,9 @@
     def show(self, version: int = 0):
         """Print the stored document, or an older version of it."""
         if version:
-            shown = self._session.run(at_version, version)
+            shown = self._session.run(load_version, version)
         else:
-            shown = self._session.run(current)
+            shown = self._session.run(load_current)
         print(to_text(shown.document), end="")
 
     @SetParseFn(str, "file")
@@ -41,7 +41,7 @@
     def diff(self, file: str):
         """Show what applying a file would change."""
         document = from_text(_read(file))
-        stored = self._session.run(current)
+        stored = self._session.run(load_current)
         self._print_differences(differences(stored.document, document))
 
     @SetParseFn(str, "file", "reason", "change_id")
@@ -62,7 +62,9 @@
         document = require_valid(from_text(_read(file)))
 
         async def apply(context):
-            start = await (at_version(context, base) if base else current(context))
+            start = await (
+                load_version(context, base) if base else load_current(context)
+            )
             return await replace(context, start, document, reason, change_id)
 
         print_revision(self._session.run(apply), self._session.json)
@@ -72,8 +74,8 @@
         """Make an older version the newest again, as a new version."""
 
         async def go_back(context):
-            old = await at_version(context, version)
-            newest = await current(context)
+            old = await load_version(context, version)
+            newest = await load_current(context)
             return await replace(context, newest, old.document, reason)
 
         print_revision(self._session.run(go_back), self._session.json)
--- a/packages/operator/plantainshed/cli/fleet_commands.py
+++ b/packages/operator/plantainshed/cli/fleet_commands.py
@@ -8,7 +8,7 @@
 
 from ..changes import edit, issue, withdraw
 from ..errors import BadUsage
-from ..views import current, fleet_status
+from ..views import fleet_status, load_current
 from .output import print_json, print_revision, print_rows
 from .session import Session
 
@@ -37,13 +37,19 @@
     @SetParseFn(str, "key_id", "reason")
     def withdraw(self, key_id: str, reason: str = "key withdrawn"):
         """Withdraw a key: on the running fleet at once, then in the document."""
-        done = self._session.run(withdraw, key_id, reason)
-        version = done.revision.version if done.revision else None
+        withdrawal = self._session.run(withdraw, key_id, reason)
+        version = withdrawal.revision.version if withdrawal.revision else None
         if self._session.json:
-            print_json({"key_id": key_id, "told": done.told, "version": version})
+            print_json(
+                {
+                    "key_id": key_id,
+                    "told": withdrawal.notified_control,
+                    "version": version,
+                }
+            )
             return
-        if done.told:
-            print(f"{key_id}: withdrawn; spreading from {done.told}")
+        if withdrawal.notified_control:
+            print(f"{key_id}: withdrawn; spreading from {withdrawal.notified_control}")
         else:
             print(f"{key_id}: no VM could be told; they learn it from the document")
         if version:
@@ -55,7 +61,7 @@
     @SetParseFn(str, "workspace")
     def list(self, workspace: str = ""):
         """List keys by their public ids."""
-        keys = self._session.run(current).document.keys
+        keys = self._session.run(load_current).document.keys
         rows = [
             {
                 "key_id": key.key_id,
@@ -78,19 +84,21 @@
     def start(self, kind: str, name: str, reason: str = "drain"):
         """Begin a drain; KIND is target, vm or failure_domain."""
         self._edit(
-            lambda document: commands.start_drain(document, _kind(kind), name), reason
+            lambda document: commands.start_drain(document, _parse_kind(kind), name),
+            reason,
         )
 
     @SetParseFn(str, "kind", "name", "reason")
     def end(self, kind: str, name: str, reason: str = "drain ended"):
         """Take a drain back."""
         self._edit(
-            lambda document: commands.end_drain(document, _kind(kind), name), reason
+            lambda document: commands.end_drain(document, _parse_kind(kind), name),
+            reason,
         )
 
     def list(self):
         """List what is being drained."""
-        drains = self._session.run(current).document.drains
+        drains = self._session.run(load_current).document.drains
         rows = [{"kind": str(drain.kind), "name": drain.name} for drain in drains]
         print_rows(rows, self._session.json)
 
@@ -121,17 +129,17 @@
     @SetParseFn(str, "name", "reason")
     def stop(self, name: str, reason: str = "shift stopped"):
         """Stop moving more; the cap stays in force."""
-        self._set(name, ShiftState.STOPPED, reason)
+        self._set_state(name, ShiftState.STOPPED, reason)
 
     @SetParseFn(str, "name", "reason")
     def resume(self, name: str, reason: str = "shift resumed"):
         """Go on with a shift."""
-        self._set(name, ShiftState.RUNNING, reason)
+        self._set_state(name, ShiftState.RUNNING, reason)
 
     @SetParseFn(str, "name", "reason")
     def reverse(self, name: str, reason: str = "shift reversed"):
         """Move in the other direction, under the same cap."""
-        self._set(name, ShiftState.REVERSED, reason)
+        self._set_state(name, ShiftState.REVERSED, reason)
 
     @SetParseFn(str, "name", "reason")
     def remove(self, name: str, reason: str = "shift removed"):
@@ -149,11 +157,11 @@
                 "cap": shift.cap,
                 "state": str(shift.state),
             }
-            for shift in self._session.run(current).document.shifts
+            for shift in self._session.run(load_current).document.shifts
         ]
         print_rows(rows, self._session.json)
 
-    def _set(self, name: str, state: ShiftState, reason: str):
+    def _set_state(self, name: str, state: ShiftState, reason: str):
         self._edit(
             lambda document: commands.set_shift_state(document, name, state), reason
         )
@@ -185,7 +193,7 @@
     print_rows(rows, as_json=False)
 
 
-def _kind(text: str) -> DrainKind:
+def _parse_kind(text: str) -> DrainKind:
     try:
         return DrainKind(text)
     except ValueError:
--- a/packages/operator/plantainshed/cli/session.py
+++ b/packages/operator/plantainshed/cli/session.py
@@ -24,16 +24,16 @@
     def run(self, function, *arguments):
         """Run an async function that takes a context first; return its result."""
 
-        async def body():
+        async def run_in_context():
             async with open_context(load_operator_settings(self.settings)) as context:
                 return await function(context, *arguments)
 
-        return _plain_errors(body)
+        return _run_and_unwrap_errors(run_in_context)
 
 
-def _plain_errors(body):
+def _run_and_unwrap_errors(async_function):
     try:
-        return trio.run(body)
+        return trio.run(async_function)
     except BaseExceptionGroup as group:
         error = group
         while isinstance(error, BaseExceptionGroup):
--- a/packages/operator/plantainshed/console/actions.py
+++ b/packages/operator/plantainshed/console/actions.py
@@ -9,10 +9,10 @@
 from ..changes import edit, issue, withdraw
 from ..context import OperatorContext
 from ..errors import EditConflict
-from ..views import at_version
-from .forms import KINDS, item_from, values_of
+from ..views import load_version
+from .forms import KINDS, form_values, parse_item
 
-PUT = {
+PUT_COMMANDS = {
     "workspaces": commands.put_workspace,
     "pools": commands.put_pool,
     "targets": commands.put_target,
@@ -21,7 +21,7 @@
 
 
 @frozen
-class Done:
+class ActionResult:
     """What a form has done.
 
     Parameters
@@ -35,15 +35,17 @@
     secret: str = ""
 
 
-async def save_item(context: OperatorContext, kind: str, form: dict[str, str]) -> Done:
+async def save_item(
+    context: OperatorContext, kind: str, form: dict[str, str]
+) -> ActionResult:
     """Save a workspace, pool, target, shift or drain.
 
     The form knows the version that it was shown from. If somebody changed this
     very item since, nothing is saved and the form comes back as typed.
     """
-    item = item_from(kind, form)
+    item = parse_item(kind, form)
     reason = form.get("reason", "").strip() or f"{kind}: {item.name}"
-    base = await at_version(context, int(form["base_version"]))
+    base = await load_version(context, int(form["base_version"]))
     before = find_item(base.document, kind, item)
 
     def change(document: Document) -> Document:
@@ -51,46 +53,52 @@
         if now != before:
             raise EditConflict(
                 f"{item.name} was changed by somebody else while you typed; it "
-                f"is now {_described(now)}. Save again to replace that.",
+                f"is now {_describe(now)}. Save again to replace that.",
                 [],
             )
         if isinstance(item, Drain):
             return commands.start_drain(document, item.kind, item.name)
-        return PUT[kind](document, item)
+        return PUT_COMMANDS[kind](document, item)
 
     revision = await edit(context, change, reason)
-    return Done(f"{item.name} saved; version {revision.version} accepted")
+    return ActionResult(f"{item.name} saved; version {revision.version} accepted")
 
 
-async def end_drain(context: OperatorContext, form: dict[str, str]) -> Done:
+async def end_drain(context: OperatorContext, form: dict[str, str]) -> ActionResult:
     """Take a drain back."""
-    drain = item_from("drains", form)
+    drain = parse_item("drains", form)
     revision = await edit(
         context,
         lambda document: commands.end_drain(document, drain.kind, drain.name),
         f"drain of {drain.name} ended",
     )
-    return Done(f"drain of {drain.name} ended; version {revision.version} accepted")
+    return ActionResult(
+        f"drain of {drain.name} ended; version {revision.version} accepted"
+    )
 
 
-async def issue_key(context: OperatorContext, form: dict[str, str]) -> Done:
+async def issue_key(context: OperatorContext, form: dict[str, str]) -> ActionResult:
     """Issue a key."""
     workspace = form.get("workspace", "")
     key, revision = await issue(context, workspace, f"key for {workspace}")
-    return Done(f"key issued; version {revision.version} accepted", key.text)
+    return ActionResult(f"key issued; version {revision.version} accepted", key.text)
 
 
-async def withdraw_key(context: OperatorContext, form: dict[str, str]) -> Done:
+async def withdraw_key(context: OperatorContext, form: dict[str, str]) -> ActionResult:
     """Withdraw a key."""
     key_id = form.get("key_id", "")
-    done = await withdraw(context, key_id, f"key {key_id} withdrawn")
-    told = f"spreading from {done.told}" if done.told else "no VM could be told yet"
+    withdrawal = await withdraw(context, key_id, f"key {key_id} withdrawn")
+    notified = (
+        f"spreading from {withdrawal.notified_control}"
+        if withdrawal.notified_control
+        else "no VM could be told yet"
+    )
     recorded = (
-        f"recorded in version {done.revision.version}"
-        if done.revision
+        f"recorded in version {withdrawal.revision.version}"
+        if withdrawal.revision
         else "NOT recorded: the store cannot be reached"
     )
-    return Done(f"{key_id} withdrawn: {told}; {recorded}")
+    return ActionResult(f"{key_id} withdrawn: {notified}; {recorded}")
 
 
 def find_item(document: Document, kind: str, item):
@@ -104,7 +112,7 @@
     return None
 
 
-def item_named(document: Document, kind: str, name: str):
+def require_item(document: Document, kind: str, name: str):
     """Return an item by name, or raise `UnknownName`."""
     if kind not in KINDS:
         raise UnknownName(f"there is no page {kind!r}")
@@ -114,7 +122,7 @@
     raise UnknownName(f"{kind}: there is none named {name!r}")
 
 
-def _described(item) -> str:
+def _describe(item) -> str:
     if item is None:
         return "deleted"
-    return ", ".join(f"{k} {v}" for k, v in values_of(item).items() if k != "name")
+    return ", ".join(f"{k} {v}" for k, v in form_values(item).items() if k != "name")
--- a/packages/operator/plantainshed/console/forms.py
+++ b/packages/operator/plantainshed/console/forms.py
@@ -68,48 +68,50 @@
     ]
 
 
-def values_of(item) -> dict[str, str]:
+def form_values(item) -> dict[str, str]:
     """Return an item's fields as they stand in a form."""
     return {
-        attribute.name: _as_text(getattr(item, attribute.name))
+        attribute.name: _format_value(getattr(item, attribute.name))
         for attribute in fields(type(item))
     }
 
 
-def item_from(kind: str, form: dict[str, str]):
+def parse_item(kind: str, form: dict[str, str]):
     """Return the item that was typed, or raise `InvalidDocument`."""
     values, faults = {}, []
     for attribute in fields(KINDS[kind]):
         typed = form.get(attribute.name, "").strip()
         try:
-            values[attribute.name] = _converted(attribute.type, typed)
+            values[attribute.name] = _convert(attribute.type, typed)
         except ValueError:
             path = f"{kind}[{form.get('name', '')}].{attribute.name}"
-            faults.append(Fault(path, f"{typed!r} must be {_expected(attribute.type)}"))
+            faults.append(
+                Fault(path, f"{typed!r} must be {_describe_type(attribute.type)}")
+            )
     if faults:
         raise InvalidDocument(faults)
     return KINDS[kind](**values)
 
 
-def _converted(wanted, typed: str):
-    return wanted(typed)
+def _convert(field_type, typed: str):
+    return field_type(typed)
 
 
-def _expected(wanted) -> str:
-    if wanted in (int, float):
+def _describe_type(field_type) -> str:
+    if field_type in (int, float):
         return "a number"
-    if wanted in (ShiftState, DrainKind):
-        return "one of " + ", ".join(wanted)
+    if field_type in (ShiftState, DrainKind):
+        return "one of " + ", ".join(field_type)
     return "text"
 
 
-def _as_text(value) -> str:
+def _format_value(value) -> str:
     return f"{value:g}" if isinstance(value, float) else str(value)
 
 
 def _default(attribute) -> str:
     default = attribute.default
-    return _as_text(default) if isinstance(default, str | int | float) else ""
+    return _format_value(default) if isinstance(default, str | int | float) else ""
 
 
 def _choices(name: str, document) -> tuple[str, ...]:
--- a/packages/operator/plantainshed/console/pages.py
+++ b/packages/operator/plantainshed/console/pages.py
@@ -8,9 +8,9 @@
 
 from ..context import OperatorContext
 from ..errors import OperatorError
-from ..views import current, fleet_status, history
-from .actions import item_named
-from .forms import KINDS, form_fields, values_of
+from ..views import fleet_status, history, load_current
+from .actions import require_item
+from .forms import KINDS, form_fields, form_values
 
 HISTORY_ROWS = 50
 TEMPLATES = Path(__file__).parent / "templates"
@@ -48,13 +48,13 @@
         problem = str(error)
     stored = None
     try:
-        stored = await current(context)
+        stored = await load_current(context)
     except OperatorError as error:
         problem = f"{problem} {error}".strip()
     return render(
         "overview.html",
         session,
-        here="",
+        active_path="",
         status=status,
         stored=stored,
         problem=problem,
@@ -74,15 +74,15 @@
     typed : dict of str to str, optional
         What was typed before, so that a refused form loses none of it.
     """
-    stored = await current(context)
+    stored = await load_current(context)
     values = dict(typed or {})
     if name and not typed:
-        values = values_of(item_named(stored.document, kind, name))
-    rows = [values_of(item) for item in getattr(stored.document, kind)]
+        values = form_values(require_item(stored.document, kind, name))
+    rows = [form_values(item) for item in getattr(stored.document, kind)]
     return render(
         "items.html",
         session,
-        here=kind,
+        active_path=kind,
         kind=kind,
         rows=rows,
         columns=list(rows[0]) if rows else [],
@@ -95,11 +95,11 @@
 
 async def keys(context: OperatorContext, session, **extra) -> bytes:
     """Show keys by their public ids."""
-    stored = await current(context)
+    stored = await load_current(context)
     return render(
         "keys.html",
         session,
-        here="keys",
+        active_path="keys",
         keys=stored.document.keys,
         workspaces=[workspace.name for workspace in stored.document.workspaces],
         **extra,
@@ -109,12 +109,14 @@
 async def changes(context: OperatorContext, session, **extra) -> bytes:
     """Show who changed what, when and why."""
     revisions = await history(context, HISTORY_ROWS)
-    return render("history.html", session, here="history", revisions=revisions, **extra)
+    return render(
+        "history.html", session, active_path="history", revisions=revisions, **extra
+    )
 
 
 def login(problem: str = "") -> bytes:
     """Show the form to log in."""
-    return render("login.html", None, here=None, problem=problem)
+    return render("login.html", None, active_path=None, problem=problem)
 
 
 def is_item_page(name: str) -> bool:
--- a/packages/operator/plantainshed/console/server.py
+++ b/packages/operator/plantainshed/console/server.py
@@ -21,12 +21,12 @@
 STYLE = (Path(__file__).parent / "style.css").read_bytes()
 HTML = (b"content-type", b"text/html; charset=utf-8")
 NO_STORE = (b"cache-control", b"no-store")
-POLICY = (
+CONTENT_SECURITY_POLICY = (
     b"content-security-policy",
     b"default-src 'none'; style-src 'self' 'unsafe-inline'; img-src data:; "
     b"form-action 'self'; frame-ancestors 'none'",
 )
-PAGE_HEADERS = [HTML, NO_STORE, POLICY]
+PAGE_HEADERS = [HTML, NO_STORE, CONTENT_SECURITY_POLICY]
 
 
 async def run_console(settings: OperatorSettings):
@@ -60,10 +60,10 @@
         elif session is None:
             await exchange.reply(200, PAGE_HEADERS, pages.login())
         elif exchange.request.method == "POST":
-            await self._change(exchange, session, url.path.strip("/"))
+            await self._handle_post(exchange, session, url.path.strip("/"))
         else:
             query = dict(parse_qsl(url.query))
-            await self._show(exchange, session, url.path.strip("/"), query)
+            await self._reply_page(exchange, session, url.path.strip("/"), query)
 
     async def _log_in(self, exchange: Exchange):
         form = await _read_form(exchange)
@@ -77,23 +77,28 @@
         headers = [(b"location", b"/"), (b"set-cookie", cookie.encode())]
         await exchange.reply(303, headers)
 
-    async def _show(
+    async def _reply_page(
         self, exchange, session, name: str, query: dict, status=200, **extra
     ):
         context = self._context_of(session)
         try:
-            body = await self._page(context, session, name, query, extra)
+            body = await self._render_page(context, session, name, query, extra)
         except (OperatorError, ModelError, CoordinationError) as error:
-            body = pages.render("problem.html", session, here=name, problem=str(error))
+            body = pages.render(
+                "problem.html", session, active_path=name, problem=str(error)
+            )
             status = 503
         if body is None:
             body = pages.render(
-                "problem.html", session, here=name, problem="There is no such page."
+                "problem.html",
+                session,
+                active_path=name,
+                problem="There is no such page.",
             )
             status = 404
         await exchange.reply(status, PAGE_HEADERS, body)
 
-    async def _page(self, context, session, name: str, query: dict, extra):
+    async def _render_page(self, context, session, name: str, query: dict, extra):
         if name == "":
             return await pages.overview(context, session, **extra)
         if name == "keys":
@@ -108,32 +113,36 @@
             )
         return None
 
-    async def _change(self, exchange, session: OperatorSession, path: str):
+    async def _handle_post(self, exchange, session: OperatorSession, path: str):
         form = await _read_form(exchange)
-        if not self.sessions.is_genuine(session, form):
+        if not self.sessions.is_form_token_valid(session, form):
             body = pages.render(
                 "problem.html",
                 session,
-                here=None,
+                active_path=None,
                 problem="This form did not come from the console. Nothing was done.",
             )
             await exchange.reply(403, PAGE_HEADERS, body)
             return
         name, _, action = path.partition("/")
         try:
-            done = await self._act(self._context_of(session), name, action, form)
+            result = await self._run_action(
+                self._context_of(session), name, action, form
+            )
         except (OperatorError, ModelError, CoordinationError) as error:
             typed = form if pages.is_item_page(name) else None
             extra = {"typed": typed} if typed else {}
-            await self._show(
+            await self._reply_page(
                 exchange, session, name, {}, 409, problem=str(error), **extra
             )
             return
-        await self._show(
-            exchange, session, name, {}, message=done.message, secret=done.secret
+        await self._reply_page(
+            exchange, session, name, {}, message=result.message, secret=result.secret
         )
 
-    async def _act(self, context, name: str, action: str, form) -> actions.Done:
+    async def _run_action(
+        self, context, name: str, action: str, form
+    ) -> actions.ActionResult:
         if (name, action) == ("keys", "issue"):
             return await actions.issue_key(context, form)
         if (name, action) == ("keys", "withdraw"):
--- a/packages/operator/plantainshed/console/sessions.py
+++ b/packages/operator/plantainshed/console/sessions.py
@@ -10,7 +10,7 @@
 COOKIE = "plantainshed_session"
 TOKEN_BYTES = 24
 LIFETIME_S = 8 * 3600.0
-LOGIN_PAUSE_S = 1.0
+FAILED_LOGIN_DELAY_S = 1.0
 
 
 @define
@@ -29,7 +29,7 @@
 
     operator: str
     form_token: str
-    until: float
+    expires_at: float
 
 
 class Sessions:
@@ -49,7 +49,7 @@
         """Return the cookie of a new session, None for a wrong password."""
         if not hmac.compare_digest(password.encode(), self.password.encode()):
             # Slows down whoever tries passwords, and nobody else.
-            await trio.sleep(LOGIN_PAUSE_S)
+            await trio.sleep(FAILED_LOGIN_DELAY_S)
             return None
         name = secrets.token_urlsafe(TOKEN_BYTES)
         self._sessions[name] = OperatorSession(
@@ -67,10 +67,12 @@
             return None
         cookie = cookies.get(COOKIE)
         session = self._sessions.get(cookie.value) if cookie else None
-        if session is None or session.until < trio.current_time():
+        if session is None or session.expires_at < trio.current_time():
             return None
         return session
 
-    def is_genuine(self, session: OperatorSession, form: dict[str, str]) -> bool:
+    def is_form_token_valid(
+        self, session: OperatorSession, form: dict[str, str]
+    ) -> bool:
         """Tell whether a form came from a page that this console made."""
         return hmac.compare_digest(form.get("form_token", ""), session.form_token)
--- a/packages/operator/plantainshed/demo/callers.py
+++ b/packages/operator/plantainshed/demo/callers.py
@@ -22,15 +22,15 @@
 
 
 @frozen
-class KnownEntries:
+class CachedLookup:
     """A look-up's answer and how long it may be used."""
 
     entries: list[dict]
-    until: float
+    expires_at: float
 
 
 @frozen
-class Deed:
+class CallerRequest:
     """A request that a caller wants answered once.
 
     Parameters
@@ -69,61 +69,61 @@
     bootstrap: object
     tally: Tally
     rate: float = 1.0
-    known: dict[str, KnownEntries] = field(factory=dict)
-    idle: dict[str, list[ClientConnection]] = field(factory=dict)
-    chooser: random.Random = field(factory=lambda: random.Random(SEED))
+    lookup_cache: dict[str, CachedLookup] = field(factory=dict)
+    idle_connections: dict[str, list[ClientConnection]] = field(factory=dict)
+    rng: random.Random = field(factory=lambda: random.Random(SEED))
 
-    async def do(self, deed: Deed):
+    async def send(self, request: CallerRequest):
         """Have a deed answered; tries other VMs only as a caller safely may."""
         began_at = trio.current_time()
         self.tally.sent += 1
         nonce = secrets.token_hex(8)
         operation = ""
         for attempt in range(MAX_TRIES):
-            entry = await self._entry(deed, attempt)
+            entry = await self._choose_entry(request, attempt)
             if entry is None:
                 await trio.sleep(0.1)
                 continue
             operation = operation or entry["operation_prefix"] + nonce
             try:
-                head = await self._send(entry["address"], deed, operation)
+                head = await self._send_request(entry["address"], request, operation)
             except ConnectFailed:
                 # Nothing was sent, so that another VM may remember it instead.
                 operation = ""
-                self.known.clear()
+                self.lookup_cache.clear()
                 continue
             except HttpError:
                 # The answer is lost. A read or a named operation may be asked
                 # for again; the operation's id keeps it from running twice.
-                self.tally.cut += 1
-                self.known.clear()
+                self.tally.interrupted += 1
+                self.lookup_cache.clear()
                 continue
             if head.status < 300:
                 seconds = trio.current_time() - began_at
-                self.tally.note_answer(deed, operation, seconds)
+                self.tally.record_answer(request, operation, seconds)
                 return
-            if not self._may_go_on(head):
+            if not self._should_retry(head):
                 return
             await trio.sleep(0.05)
         self.tally.lost += 1
 
-    def _may_go_on(self, head: ResponseHead) -> bool:
+    def _should_retry(self, head: ResponseHead) -> bool:
         reason = head.header(REASON_HEADER) or f"http_{head.status}"
-        self.tally.note_refusal(reason)
+        self.tally.record_refusal(reason)
         return reason in ("no_room", "no_target", "not_ready", "operation_in_progress")
 
-    async def _entry(self, deed: Deed, attempt: int) -> dict | None:
-        pool = deed.path.split("/")[1]
-        known = self.known.get(pool)
-        if known is None or known.until < trio.current_time():
-            known = await self._look_up(pool)
-            if known is None:
+    async def _choose_entry(self, request: CallerRequest, attempt: int) -> dict | None:
+        pool = request.path.split("/")[1]
+        cached = self.lookup_cache.get(pool)
+        if cached is None or cached.expires_at < trio.current_time():
+            cached = await self._look_up(pool)
+            if cached is None:
                 return None
-            self.known[pool] = known
-        return known.entries[attempt % len(known.entries)]
+            self.lookup_cache[pool] = cached
+        return cached.entries[attempt % len(cached.entries)]
 
-    async def _look_up(self, pool: str) -> KnownEntries | None:
-        address = self.chooser.choice(self.bootstrap())
+    async def _look_up(self, pool: str) -> CachedLookup | None:
+        address = self.rng.choice(self.bootstrap())
         path = f"/plantainshed/lookup?client={self.client}&pool={pool}"
         try:
             head, body = await fetch(address, "GET", path, timeout_s=2.0)
@@ -132,32 +132,34 @@
         if head.status != 200:
             return None
         answer = orjson.loads(body)
-        until = trio.current_time() + answer["ttl_s"]
-        return KnownEntries(answer["entries"], until)
+        expires_at = trio.current_time() + answer["ttl_s"]
+        return CachedLookup(answer["entries"], expires_at)
 
-    async def _send(self, address: str, deed: Deed, operation: str) -> ResponseHead:
+    async def _send_request(
+        self, address: str, request: CallerRequest, operation: str
+    ) -> ResponseHead:
         connection = await self._connection(address)
         headers = [(b"authorization", b"Bearer " + self.key.encode())]
-        if deed.is_booking:
+        if request.is_booking:
             headers.append((b"operation-id", operation.encode()))
         try:
             with trio.fail_after(REQUEST_TIMEOUT_S):
                 head, _ = await connection.request(
-                    deed.method, deed.path, headers, deed.body
+                    request.method, request.path, headers, request.body
                 )
         except BaseException:
             await connection.aclose()
             raise
         if connection.reusable:
-            self.idle.setdefault(address, []).append(connection)
+            self.idle_connections.setdefault(address, []).append(connection)
         else:
             await connection.aclose()
         return head
 
     async def _connection(self, address: str) -> ClientConnection:
-        waiting = self.idle.get(address, [])
-        while waiting:
-            connection = waiting.pop()
+        idle = self.idle_connections.get(address, [])
+        while idle:
+            connection = idle.pop()
             if not connection.stale:
                 return connection
             await connection.aclose()
--- a/packages/operator/plantainshed/demo/deployment.py
+++ b/packages/operator/plantainshed/demo/deployment.py
@@ -14,7 +14,7 @@
 
 LOOPBACK = "127.0.0.1"
 EXAMPLES = "examples"
-VMS_IN_EACH_DOMAIN = 1
+VMS_PER_DOMAIN = 1
 # Below the range from which outgoing connections get their ports.
 FIRST_PORT = 15_000
 LAST_PORT = 32_000
@@ -93,7 +93,7 @@
     names = [
         (f"{domain.name}-{number}", domain.name)
         for domain in document.failure_domains
-        for number in range(1, VMS_IN_EACH_DOMAIN + 1)
+        for number in range(1, VMS_PER_DOMAIN + 1)
     ]
     seeds = tuple(Seed(vm, domain, free_address()) for vm, domain in names)
     for seed in seeds:
--- a/packages/operator/plantainshed/demo/outcomes.py
+++ b/packages/operator/plantainshed/demo/outcomes.py
@@ -28,19 +28,19 @@
     sent: int = 0
     answered: int = 0
     lost: int = 0
-    cut: int = 0
+    interrupted: int = 0
     refused: Counter = field(factory=Counter)
     latencies: list[float] = field(factory=list)
     bookings: set[str] = field(factory=set)
 
-    def note_answer(self, deed, operation: str, seconds: float):
+    def record_answer(self, request, operation: str, seconds: float):
         """Count an answered request."""
         self.answered += 1
         self.latencies.append(seconds)
-        if deed.is_booking:
+        if request.is_booking:
             self.bookings.add(operation)
 
-    def note_refusal(self, reason: str):
+    def record_refusal(self, reason: str):
         """Count a refusal."""
         self.refused[reason] += 1
 
@@ -57,8 +57,8 @@
     """The figures that the demo ends with."""
 
     tally: Tally
-    doubled: int = 0
-    missing: int = 0
+    run_twice: int = 0
+    not_run: int = 0
     keys_seen_by_targets: int = 0
     config_in_force_s: float | None = None
     key_withdrawn_s: float | None = None
@@ -72,9 +72,9 @@
             "answered": tally.answered,
             "refused": dict(tally.refused),
             "wrongful_refusals": sum(tally.refused.values()),
-            "lost": tally.lost + self.missing,
-            "doubled": self.doubled,
-            "cut": tally.cut,
+            "lost": tally.lost + self.not_run,
+            "doubled": self.run_twice,
+            "cut": tally.interrupted,
             "p50_ms": tally.percentile_ms(50),
             "p99_ms": tally.percentile_ms(99),
             "config_in_force_s": self.config_in_force_s,
--- a/packages/operator/plantainshed/report/gather.py
+++ b/packages/operator/plantainshed/report/gather.py
@@ -72,7 +72,7 @@
 async def gather(context: OperatorContext, hours: float) -> Report:
     """Ask every VM and the store; name what does not answer."""
     report = Report(datetime.now(UTC).isoformat(timespec="seconds"))
-    await _ask_fleet(context, report)
+    await _collect_fleet_facts(context, report)
     try:
         since = datetime.now(UTC) - timedelta(hours=hours)
         report.changes = [
@@ -85,7 +85,7 @@
     return report
 
 
-async def _ask_fleet(context: OperatorContext, report: Report):
+async def _collect_fleet_facts(context: OperatorContext, report: Report):
     try:
         status = await fleet_status(context)
     except OperatorError as error:
@@ -93,10 +93,10 @@
         return
     async with trio.open_nursery() as nursery:
         for vm in status["vms"]:
-            nursery.start_soon(_ask_vm, context, vm, report)
+            nursery.start_soon(_collect_vm_facts, context, vm, report)
 
 
-async def _ask_vm(context: OperatorContext, vm: dict, report: Report):
+async def _collect_vm_facts(context: OperatorContext, vm: dict, report: Report):
     try:
         value = await context.control.command(
             vm["control"], FACTS, b"{}", context.settings.credential
@@ -104,13 +104,13 @@
     except PeerError as error:
         report.unknown.append(f"{vm['vm']}: {error}")
         return
-    _add(report, orjson.loads(value))
+    _merge_facts(report, orjson.loads(value))
 
 
-def _add(report: Report, facts: dict):
+def _merge_facts(report: Report, facts: dict):
     for workspace, count in facts["answered"].items():
         report.answered[workspace] = report.answered.get(workspace, 0) + count
-    _add_refusals(report, facts["refused"])
+    _merge_refusals(report, facts["refused"])
     domain = report.headroom.setdefault(facts["failure_domain"], {})
     for pool, free in facts["headroom_min"].items():
         domain[pool] = min(free, domain.get(pool, 1.0))
@@ -120,7 +120,7 @@
         report.incidents.append({"seen_by": facts["vm"], **incident})
 
 
-def _add_refusals(report: Report, rows: list[dict]):
+def _merge_refusals(report: Report, rows: list[dict]):
     for row in rows:
         for known in report.refused:
             if all(known[k] == row[k] for k in ("reason", "outcome", "workspace")):
--- a/packages/operator/plantainshed/report/page.py
+++ b/packages/operator/plantainshed/report/page.py
@@ -23,7 +23,7 @@
     """Return the report in one of `FORMATS`."""
     report = await gather(context, hours)
     if format == "json":
-        return json.dumps(_fields(report), indent=2) + "\n"
+        return json.dumps(_json_fields(report), indent=2) + "\n"
     return _render(f"report.{'html' if format == 'html' else 'txt'}", report)
 
 
@@ -32,7 +32,7 @@
     return (await report_as(context, "html", DEFAULT_HOURS)).encode()
 
 
-def _fields(report: Report) -> dict:
+def _json_fields(report: Report) -> dict:
     fields = asdict(report)
     fields["refused_within_rate"] = report.refused_within_rate()
     fields["served_shares"] = report.served_shares()
--- a/packages/operator/plantainshed/settings.py
+++ b/packages/operator/plantainshed/settings.py
@@ -47,26 +47,28 @@
         parser.read_string(Path(path).read_text())
     except (OSError, configparser.Error) as error:
         raise BadUsage(f"{path}: {error}") from error
-    faults = list(_faults(parser))
+    faults = list(_find_faults(parser))
     if faults:
         raise BadUsage(f"{path} cannot be used:\n  " + "\n  ".join(faults))
     return OperatorSettings(
         platform=parser["platform"]["address"],
-        controls=tuple(_controls(parser)),
-        credential=_read(parser, "fleet", "secret_file"),
+        controls=tuple(_control_addresses(parser)),
+        credential=_read_file_option(parser, "fleet", "secret_file"),
         operator=parser.get("operator", "name", fallback="operator"),
         console_listen=parser.get("console", "listen", fallback=DEFAULT_CONSOLE),
-        console_password=_read(parser, "console", "password_file"),
+        console_password=_read_file_option(parser, "console", "password_file"),
     )
 
 
-def _faults(parser):
+def _find_faults(parser):
     addresses = [
         ("platform", "address", parser.get("platform", "address", fallback=""))
     ]
     listen = parser.get("console", "listen", fallback=DEFAULT_CONSOLE)
     addresses.append(("console", "listen", listen))
-    addresses += [("fleet", "controls", control) for control in _controls(parser)]
+    addresses += [
+        ("fleet", "controls", control) for control in _control_addresses(parser)
+    ]
     for section, option, value in addresses:
         if not is_address(value):
             yield f"[{section}] {option} = {value!r}: must be IP:PORT"
@@ -74,7 +76,7 @@
         path = parser.get(section, option, fallback="")
         if path and not Path(path).is_file():
             yield f"[{section}] {option} = {path!r}: must be the path of a file"
-    password = _read(parser, "console", "password_file")
+    password = _read_file_option(parser, "console", "password_file")
     if password and len(password) < MIN_CREDENTIAL_LENGTH:
         yield (
             "[console] password_file: the password must have at least "
@@ -82,11 +84,11 @@
         )
 
 
-def _controls(parser):
+def _control_addresses(parser):
     return parser.get("fleet", "controls", fallback="").split()
 
 
-def _read(parser, section, option) -> str:
+def _read_file_option(parser, section, option) -> str:
     path = parser.get(section, option, fallback="")
     if not path or not Path(path).is_file():
         return ""
--- a/packages/operator/plantainshed/views.py
+++ b/packages/operator/plantainshed/views.py
@@ -19,21 +19,21 @@
 
 
 @frozen
-class Current:
+class StoredDocument:
     """The document as it is stored now, with its revision."""
 
     revision: Revision
     document: Document
 
 
-async def current(context: OperatorContext) -> Current:
+async def load_current(context: OperatorContext) -> StoredDocument:
     """Return the stored document, an empty one before the first."""
     try:
         revision = (await context.store.root()).revision
         segments = await context.store.segments(revision)
     except CoordinationError as error:
         raise Unreachable(f"the document cannot be read: {error}") from error
-    return Current(revision, from_segments(segments))
+    return StoredDocument(revision, from_segments(segments))
 
 
 async def history(context: OperatorContext, limit: int) -> list[Revision]:
@@ -44,13 +44,13 @@
         raise Unreachable(f"the history cannot be read: {error}") from error
 
 
-async def at_version(context: OperatorContext, version: int) -> Current:
+async def load_version(context: OperatorContext, version: int) -> StoredDocument:
     """Return an older version of the document."""
     revisions = await history(context, limit=1_000_000)
     for revision in revisions:
         if revision.version == version:
             segments = await context.store.segments(revision)
-            return Current(revision, from_segments(segments))
+            return StoredDocument(revision, from_segments(segments))
     raise Unreachable(f"version {version} is not in the history")
 
 
--- a/tests/operator/test_changes.py
+++ b/tests/operator/test_changes.py
@@ -9,7 +9,7 @@
 from plantainshed.context import OperatorContext
 from plantainshed.errors import BadUsage, EditConflict
 from plantainshed.settings import OperatorSettings
-from plantainshed.views import current
+from plantainshed.views import load_current
 from plantainshed_coordination.errors import PeerTimeout
 from plantainshed_coordination.versioned import DocumentStore
 from plantainshed_model import commands
@@ -55,7 +55,7 @@
 
 async def with_document(dead=()) -> OperatorContext:
     context = context_with(dead)
-    await replace(context, await current(context), DOCUMENT, "first")
+    await replace(context, await load_current(context), DOCUMENT, "first")
     return context
 
 
@@ -65,16 +65,16 @@
         context = context_with()
         bad = Document(workspaces=(Workspace("X Y", -1.0, 0.0),))
         with self.assertRaises(InvalidDocument) as caught:
-            await replace(context, await current(context), bad, "bad")
+            await replace(context, await load_current(context), bad, "bad")
         fields = {fault.field for fault in caught.exception.faults}
         self.assertIn("workspaces[X Y].rate", fields)
         self.assertIn("workspaces[X Y].burst", fields)
-        self.assertEqual((await current(context)).revision.version, 0)
+        self.assertEqual((await load_current(context)).revision.version, 0)
 
     @on_mock_clock
     async def test_conflict_shows_what_the_other_changed(self):
         context = await with_document()
-        base = await current(context)
+        base = await load_current(context)
         await edit(
             context,
             lambda d: commands.start_drain(d, DrainKind.FAILURE_DOMAIN, "a"),
@@ -101,7 +101,7 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(drain, "a")
             nursery.start_soon(drain, "b")
-        drains = {d.name for d in (await current(context)).document.drains}
+        drains = {d.name for d in (await load_current(context)).document.drains}
         self.assertEqual(drains, {"a", "b"})
 
 
@@ -113,7 +113,7 @@
         key, _ = await issue(context, "comune", "new")
         await context.platform.set_down(True)
         done = await withdraw(context, key.entry.key_id, "stolen")
-        self.assertEqual(done.told, "vm-2")
+        self.assertEqual(done.notified_control, "vm-2")
         self.assertIsNone(done.revision)
         self.assertIn(key.entry.key_id.encode(), context.control.told[0][2])
 
@@ -122,8 +122,8 @@
         context = await with_document(dead=("vm-1", "vm-2"))
         key, _ = await issue(context, "comune", "new")
         done = await withdraw(context, key.entry.key_id, "stolen")
-        self.assertEqual(done.told, "")
-        self.assertTrue((await current(context)).document.keys[0].withdrawn)
+        self.assertEqual(done.notified_control, "")
+        self.assertTrue((await load_current(context)).document.keys[0].withdrawn)
 
     @on_mock_clock
     async def test_bad_ids_are_named(self):
--- a/tests/operator/test_console.py
+++ b/tests/operator/test_console.py
@@ -8,7 +8,7 @@
 from plantainshed.console.server import Console
 from plantainshed.context import open_context
 from plantainshed.settings import OperatorSettings
-from plantainshed.views import current
+from plantainshed.views import load_current
 from plantainshed_coordination.versioned import Change, DocumentStore
 from plantainshed_http.client import fetch
 from plantainshed_model.codec import to_segments
@@ -98,7 +98,7 @@
                 reason="more seats",
             )
             self.assertEqual(status, 200)
-            stored = await current(browser.context)
+            stored = await load_current(browser.context)
             self.assertEqual(stored.document.workspaces[0].rate, 20.0)
             self.assertEqual(stored.revision.author, "ann")
             self.assertEqual(stored.revision.reason, "more seats")
@@ -139,7 +139,7 @@
             self.assertEqual(status, 409)
             self.assertIn("it is now rate 20", browser.page)
             self.assertIn('value="30"', browser.page)
-            stored = await current(browser.context)
+            stored = await load_current(browser.context)
             self.assertEqual(stored.document.workspaces[0].rate, 20.0)
 
     @on_real_clock
@@ -151,7 +151,7 @@
                 "/keys/issue", form_token="x", workspace="comune"
             )
             self.assertEqual(status, 403)
-            self.assertEqual((await current(browser.context)).document.keys, ())
+            self.assertEqual((await load_current(browser.context)).document.keys, ())
 
     @on_real_clock
     async def test_key_is_shown_once(self):
