--- a/packages/model/plantainshed_model/__init__.py
+++ b/packages/model/plantainshed_model/__init__.py
@@ -1,6 +1,7 @@
-"""The traffic document: schema, checks, encoding, differences and edits.
+"""The traffic document: schema, validation, serialization, comparison and edits.
 
-`document` holds the data, `checks` what makes one valid, `codec` its segments,
-`queries` and `commands` what operators read and change, `blocks` the compact
-table of client blocks, `keys` the making and checking of callers' keys.
+`document` defines the data classes, `checks` validates them and `codec` converts them
+to and from JSON segments. `queries` and `commands` are the read and edit operations.
+`blocks` is the compact lookup table of client blocks. `keys` creates and verifies
+callers' keys.
 """
--- a/packages/model/plantainshed_model/blocks.py
+++ b/packages/model/plantainshed_model/blocks.py
@@ -1,8 +1,9 @@
-"""The client blocks as sorted packed arrays.
+"""Longest-prefix lookup of client addresses, with blocks in sorted packed arrays.
 
-As Python objects 210,000 blocks do not fit a daemon's memory. Here a block
-costs 12 bytes for IPv4 (start, index of its domain, parent) and 24 for IPv6,
-and a look-up is one bisection. Blocks may nest; the longest match wins.
+210,000 blocks as Python objects do not fit in an entry daemon's memory. In these
+arrays a block takes 12 bytes for IPv4 (start, index of its domain, parent) and 24 bytes
+for IPv6, and a lookup is one binary search. Blocks may be nested; the longest matching
+prefix wins.
 """
 
 import ipaddress
@@ -17,16 +18,17 @@
 
 @frozen
 class BlockMatch:
-    """The block that an address falls into.
+    """The block that contains a looked-up address.
 
     Parameters
     ----------
     index : int
-        Position of the block in its table; stable within one document.
+        Position of the block in the table of its address family; stable within
+        one document.
     family : int
-        4 or 6.
+        IP version, 4 or 6.
     failure_domain : str
-        Domain that the block is near.
+        The failure domain closest to the block's addresses.
     """
 
     index: int
@@ -35,7 +37,7 @@
 
 
 class BlockTable:
-    """Finds the client block of an address."""
+    """Finds the client block that contains an address."""
 
     def __init__(self, blocks: Iterable):
         self.domains: list[str] = []
@@ -60,12 +62,12 @@
         return sum(len(family) for family in self._families.values())
 
     def find(self, address: str) -> BlockMatch | None:
-        """Return the longest block that holds the address, if any.
+        """Return the block with the longest prefix that contains the address, if any.
 
         Raises
         ------
         ValueError
-            If the text is not an IP address.
+            If ``address`` is not an IP address.
         """
         parsed = ipaddress.ip_address(address)
         family = self._families[parsed.version]
@@ -78,13 +80,17 @@
 
 
 class _FamilyTable:
-    """The blocks of one address family, ordered by start, outer before inner."""
+    """The blocks of one address family.
+
+    They are sorted by start address, enclosing blocks before the blocks that they
+    contain. Each block has the index of its innermost enclosing block as parent.
+    """
 
     def __init__(self, rows, bits):
         rows.sort()
         self.bits = bits
-        # Only the upper 64 bits of an IPv6 address route; longer prefixes than
-        # /64 are cut to it, as their hosts share one link.
+        # Only the upper 64 bits of an IPv6 address are used for routing. Prefixes
+        # longer than /64 are truncated to /64, as their hosts share one link.
         self.dropped_bits = 64 if bits == 128 else 0
         self.starts = array("Q" if bits == 128 else "L")
         if bits == 32:
@@ -109,7 +115,7 @@
         return len(self.starts)
 
     def find(self, address: int) -> int:
-        """Return the index of the longest block with the address, or NO_PARENT."""
+        """Return the index of the longest matching block, or NO_PARENT if none."""
         value = address >> self.dropped_bits
         index = bisect_right(self.starts, value) - 1
         while index != NO_PARENT and not self._contains(index, value):
--- a/packages/model/plantainshed_model/checks.py
+++ b/packages/model/plantainshed_model/checks.py
@@ -1,6 +1,6 @@
-"""What makes a document valid.
+"""Validation of the traffic document.
 
-`check` finds every fault, so that an operator mends them in one go.
+`check` reports all faults at once, so that an operator can fix them in one edit.
 """
 
 import ipaddress
@@ -19,7 +19,13 @@
 
 
 def require_valid(document: Document) -> Document:
-    """Return the document, or raise `InvalidDocument` with all its faults."""
+    """Return the document if it is valid.
+
+    Raises
+    ------
+    InvalidDocument
+        With all faults of the document.
+    """
     faults = check(document)
     if faults:
         raise InvalidDocument(faults)
@@ -27,7 +33,7 @@
 
 
 def check(document: Document) -> list[Fault]:
-    """Return every fault of the document."""
+    """Return all faults of the document; empty if it is valid."""
     return [
         *_check_names(document),
         *_check_topology(document),
@@ -64,7 +70,7 @@
 def _check_unique(path, names):
     for name, count in Counter(names).items():
         if count > 1:
-            yield Fault(f"{path}[{name}]", f"stands {count} times; names are unique")
+            yield Fault(f"{path}[{name}]", f"occurs {count} times; must be unique")
 
 
 def _check_topology(document):
@@ -79,7 +85,7 @@
         yield from _check_known(f"{path}.region_b", link.region_b, regions, "region")
         yield from _check_number(f"{path}.megabits_s", link.megabits_s, 0, math.inf)
         if link.region_a == link.region_b:
-            yield Fault(path, "must join two different regions")
+            yield Fault(path, "must connect two different regions")
 
 
 def _check_workspaces(document):
@@ -95,7 +101,7 @@
         path = f"keys[{key.key_id}]"
         yield from _check_known(f"{path}.workspace", key.workspace, names, "workspace")
         if len(key.digest) != DIGEST_LENGTH:
-            yield Fault(f"{path}.digest", "must be a SHA-256 in hexadecimal")
+            yield Fault(f"{path}.digest", "must be a SHA-256 digest in hexadecimal")
 
 
 def _check_pools(document):
--- a/packages/model/plantainshed_model/codec.py
+++ b/packages/model/plantainshed_model/codec.py
@@ -1,9 +1,10 @@
-"""The document as segments of JSON, and back.
+"""Serialization of the document to JSON segments, and deserialization.
 
-Parts that change together share a segment, so that withdrawing a key does not
-send the client blocks again. Keys and blocks are spread over several segments
-by the hash of their names. Blocks are grouped by failure domain, which takes a
-third of the room, and can be read without making an object of each.
+Parts that usually change together share a segment, so that withdrawing a key, for
+example, does not send the client blocks again. Keys and blocks are distributed over
+several segments by the hash of their names. Within a segment, blocks are grouped by
+failure domain: this takes a third of the space of a list of objects, and a reader
+need not create an object for each block.
 """
 
 import json
@@ -33,17 +34,17 @@
 
 
 def to_fields(document: Document) -> dict:
-    """Return the document as plain JSON values."""
+    """Convert the document to plain JSON values."""
     return converter.unstructure(document)
 
 
 def from_fields(fields: dict) -> Document:
-    """Read a document from plain JSON values.
+    """Create a document from plain JSON values.
 
     Raises
     ------
     InvalidDocument
-        With the path of each field that is missing, unknown or of a wrong type.
+        With the path of each field that is missing, unknown or of the wrong type.
     """
     try:
         return converter.structure(fields, Document)
@@ -53,12 +54,18 @@
 
 
 def to_text(document: Document) -> str:
-    """Return the document as one JSON text for people to edit."""
+    """Return the document as indented JSON text, for people to edit."""
     return json.dumps(to_fields(document), indent=2) + "\n"
 
 
 def from_text(text: str) -> Document:
-    """Read a document from its JSON text, or raise `InvalidDocument`."""
+    """Parse a document from JSON text.
+
+    Raises
+    ------
+    InvalidDocument
+        If the text is not JSON, or not a document.
+    """
     try:
         fields = json.loads(text)
     except ValueError as error:
@@ -87,10 +94,10 @@
 
 
 def from_segments(segments: dict[str, bytes], with_blocks: bool = True) -> Document:
-    """Put a document together from its segments.
+    """Assemble a document from its segments.
 
-    Without its blocks it is what an entry daemon keeps: `read_blocks` gives
-    them one at a time to a compact table instead.
+    An entry daemon keeps the document without its blocks (``with_blocks=False``).
+    It reads them one at a time with `read_blocks` into a compact `BlockTable`.
     """
     fields = {}
     for segment in sorted(segments):
@@ -105,7 +112,7 @@
 
 
 def read_blocks(segments: dict[str, bytes]) -> Iterator[ClientBlock]:
-    """Yield the client blocks of a document's segments."""
+    """Yield the client blocks that a document's segments contain."""
     for segment in sorted(segments):
         if segment.startswith(BLOCKS_PREFIX):
             grouped = json.loads(segments[segment])[BLOCKS_BY_DOMAIN]
--- a/packages/model/plantainshed_model/commands.py
+++ b/packages/model/plantainshed_model/commands.py
@@ -1,7 +1,7 @@
-"""Edits of a document: each takes one and returns the next.
+"""Edits of a document. Each function takes a document and returns a changed copy.
 
-They raise `UnknownName` when they name something that is not there. Whether
-the result is valid is for `checks` to say.
+They raise `UnknownName` if the document does not contain the object to edit. They do
+not validate the result; see `checks`.
 """
 
 from attrs import evolve
@@ -21,22 +21,22 @@
 
 
 def put_workspace(document: Document, workspace: Workspace) -> Document:
-    """Add a workspace, or change the one of the same name."""
+    """Add a workspace, or replace the one of the same name."""
     return evolve(document, workspaces=_add_or_replace(document.workspaces, workspace))
 
 
 def put_pool(document: Document, pool: Pool) -> Document:
-    """Add a pool, or change the one of the same name."""
+    """Add a pool, or replace the one of the same name."""
     return evolve(document, pools=_add_or_replace(document.pools, pool))
 
 
 def put_target(document: Document, target: Target) -> Document:
-    """Add a target, or change the one of the same name."""
+    """Add a target, or replace the one of the same name."""
     return evolve(document, targets=_add_or_replace(document.targets, target))
 
 
 def put_shift(document: Document, shift: Shift) -> Document:
-    """Start a shift, or change the one of the same name."""
+    """Add a shift, or replace the one of the same name."""
     return evolve(document, shifts=_add_or_replace(document.shifts, shift))
 
 
@@ -49,7 +49,7 @@
 
 
 def remove_shift(document: Document, name: str) -> Document:
-    """Take a shift off the list, and its cap with it."""
+    """Remove a shift together with its cap."""
     if name not in {shift.name for shift in document.shifts}:
         raise UnknownName(f"shifts: there is no shift named {name!r}")
     return evolve(
@@ -58,14 +58,14 @@
 
 
 def add_key(document: Document, key: KeyDigest) -> Document:
-    """Add the entry of a key that was just issued."""
+    """Add the digest of a newly issued key."""
     if key.workspace not in {item.name for item in document.workspaces}:
         raise UnknownName(f"workspace: there is no workspace named {key.workspace!r}")
     return evolve(document, keys=(*document.keys, key))
 
 
 def withdraw_key(document: Document, key_id: str) -> Document:
-    """Mark a key as withdrawn; it stays listed."""
+    """Mark a key as withdrawn. It stays in the document."""
     if key_id not in {key.key_id for key in document.keys}:
         raise UnknownName(f"key_id: there is no key {key_id!r}")
     return evolve(
@@ -78,7 +78,7 @@
 
 
 def start_drain(document: Document, kind: DrainKind, name: str) -> Document:
-    """Order something to be emptied; a second order changes nothing."""
+    """Add a drain. If it exists already, return the document unchanged."""
     drain = Drain(kind, name)
     if drain in document.drains:
         return document
@@ -86,7 +86,7 @@
 
 
 def end_drain(document: Document, kind: DrainKind, name: str) -> Document:
-    """Take a drain back."""
+    """Remove a drain, so that its object receives traffic again."""
     drain = Drain(kind, name)
     if drain not in document.drains:
         raise UnknownName(f"drains: {kind} {name!r} is not being drained")
--- a/packages/model/plantainshed_model/document.py
+++ b/packages/model/plantainshed_model/document.py
@@ -1,6 +1,7 @@
-"""The traffic document: everything that operators decide.
+"""Data classes of the traffic document, the configuration that operators edit.
 
-Rates are requests a second, bandwidths megabits a second, times seconds.
+Rates are in requests per second, bandwidths in megabits per second and times in
+seconds.
 """
 
 from enum import StrEnum
@@ -12,7 +13,7 @@
 
 
 class ShiftState(StrEnum):
-    """What a shift does at present."""
+    """State of a shift, as set by an operator."""
 
     RUNNING = "running"
     STOPPED = "stopped"
@@ -20,7 +21,7 @@
 
 
 class DrainKind(StrEnum):
-    """What a drain empties."""
+    """Kind of object that a drain takes traffic away from."""
 
     TARGET = "target"
     VM = "vm"
@@ -29,14 +30,14 @@
 
 @frozen
 class Region:
-    """A region: failure domains that are near each other."""
+    """A group of failure domains that are close to each other."""
 
     name: str
 
 
 @frozen
 class FailureDomain:
-    """A part of a region that fails, or is cut off, as one."""
+    """A part of a region that fails, or loses its network, as a unit."""
 
     name: str
     region: str
@@ -44,7 +45,7 @@
 
 @frozen
 class Link:
-    """The bandwidth between two regions, each way, shared with others."""
+    """The bandwidth between two regions, per direction, shared with other users."""
 
     region_a: str
     region_b: str
@@ -53,18 +54,18 @@
 
 @frozen
 class Workspace:
-    """A customer and what it bought.
+    """A customer and the request quota that it has bought.
 
     Parameters
     ----------
     name : str
     rate : float
-        Requests a second over the whole fleet.
+        Allowed requests per second, summed over the whole fleet.
     burst : float
-        Requests that may come at once over the whole fleet.
+        Requests that may arrive at once, summed over the whole fleet.
     offline_limit_s : float
-        How long a failure domain that can hear nobody goes on accepting keys
-        that it knew.
+        How long a failure domain that has lost contact with everything else
+        still accepts the keys that it knows.
     """
 
     name: str
@@ -75,16 +76,17 @@
 
 @frozen
 class KeyDigest:
-    """A caller's key, of which only the digest is kept.
+    """A caller's API key, stored as a digest only.
 
     Parameters
     ----------
     key_id : str
-        Public part of the key; safe in logs.
+        Public part of the key; safe to log.
     workspace : str
     digest : str
         SHA-256 of the whole key in hexadecimal.
     withdrawn : bool
+        Whether the key has been revoked.
     """
 
     key_id: str
@@ -95,25 +97,27 @@
 
 @frozen
 class Pool:
-    """Targets that serve the same paths.
+    """A group of targets that serve the same paths.
 
     Parameters
     ----------
     name : str
     prefix : str
-        Requests whose path starts with it go to this pool.
+        Requests whose path starts with this prefix go to this pool.
     slots : int
-        Requests that one target runs at a time.
+        Number of requests that one target runs concurrently.
     connections : int
-        Connections that one target accepts from the whole fleet.
+        Number of connections that one target accepts from the whole fleet.
     probe_path : str
         Path of the health check.
     timeout_s : float
-        Deadline of a request that brings none of its own.
+        Deadline of requests that do not specify one.
     service_time_s : float
-        Expected time of a request in a slot, until it has been measured.
+        Estimate of the time that a request occupies a slot, used until a
+        measured value is available.
     ramp_s : float
-        How long a new or returning target takes to get its full share.
+        Duration of the slow start, in which a new or returning target's share
+        of the traffic grows to its full value.
     """
 
     name: str
@@ -128,7 +132,7 @@
 
 @frozen
 class Target:
-    """One back end."""
+    """One back-end server."""
 
     name: str
     pool: str
@@ -138,7 +142,7 @@
 
 @frozen
 class ClientBlock:
-    """Client addresses that are near one failure domain."""
+    """A network of client addresses, and the failure domain closest to them."""
 
     cidr: str
     failure_domain: str
@@ -146,7 +150,7 @@
 
 @frozen
 class Shift:
-    """An operator's move of a pool's traffic between two regions.
+    """An operator's order to move a pool's traffic from one region to another.
 
     Parameters
     ----------
@@ -154,7 +158,8 @@
     pool : str
     from_region, to_region : str
     cap : float
-        Requests a second that may be moved over the whole fleet.
+        Limit of the moved traffic in requests per second, summed over the whole
+        fleet.
     state : ShiftState
     """
 
@@ -168,7 +173,7 @@
 
 @frozen
 class Drain:
-    """An order to empty something without cutting a request."""
+    """An order to send an object no new requests and let running ones finish."""
 
     kind: DrainKind
     name: str
@@ -176,7 +181,7 @@
 
 @frozen
 class Document:
-    """The whole document; immutable, as every part of it."""
+    """The whole traffic document. Like all of its parts, it is immutable."""
 
     regions: tuple[Region, ...] = ()
     failure_domains: tuple[FailureDomain, ...] = ()
--- a/packages/model/plantainshed_model/errors.py
+++ b/packages/model/plantainshed_model/errors.py
@@ -4,19 +4,19 @@
 
 
 class ModelError(Exception):
-    """Base of the document's errors."""
+    """Base class of the errors of this package."""
 
 
 @frozen
 class Fault:
-    """One thing that is wrong with a document.
+    """One validation error in a document.
 
     Parameters
     ----------
     field : str
-        Path of the field, such as ``workspaces[prefettura].rate``.
+        Path of the invalid field, such as ``workspaces[prefettura].rate``.
     message : str
-        What is wrong and what is allowed.
+        Description of the error, and of the allowed values.
     """
 
     field: str
@@ -27,11 +27,12 @@
 
 
 class InvalidDocument(ModelError):
-    """The document has faults; all of them are listed.
+    """The document failed validation.
 
     Parameters
     ----------
     faults : list of Fault
+        All errors that were found.
     """
 
     def __init__(self, faults):
@@ -40,4 +41,4 @@
 
 
 class UnknownName(ModelError):
-    """An edit names something that the document does not hold."""
+    """An edit refers to an object that the document does not contain."""
--- a/packages/model/plantainshed_model/keys.py
+++ b/packages/model/plantainshed_model/keys.py
@@ -1,7 +1,7 @@
-"""Callers' keys: making them, and telling whose a key is.
+"""Creation and verification of callers' API keys.
 
-A key reads ``psk_<key id>_<secret>``. Only its SHA-256 is kept; the secret has
-enough randomness that no slow digest is needed.
+A key has the form ``psk_<key id>_<secret>``. Only its SHA-256 digest is stored. A slow
+password hash is not needed, as the secret is random and long enough.
 """
 
 import hashlib
@@ -13,7 +13,8 @@
 from .document import Document, KeyDigest
 
 KEY_PREFIX = "psk"
-# Digits alone would be read as a number by shells, sheets and command lines.
+# Without a letter, command-line parsers and spreadsheets would convert an id that
+# happens to consist of digits to a number.
 KEY_ID_PREFIX = "k"
 KEY_ID_BYTES = 6
 SECRET_BYTES = 24
@@ -21,14 +22,14 @@
 
 @frozen
 class IssuedKey:
-    """A new key; the only time its secret can be read.
+    """A new key. Its secret is not stored, so it cannot be shown again later.
 
     Parameters
     ----------
     text : str
-        What the caller sends.
+        The whole key, as the caller sends it.
     entry : KeyDigest
-        What the document keeps.
+        The key's entry in the document.
     """
 
     text: str = field(repr=False)
@@ -36,38 +37,38 @@
 
 
 def issue_key(workspace: str) -> IssuedKey:
-    """Make a new key for a workspace."""
+    """Generate a new random key for a workspace."""
     return make_key(
         workspace, secrets.token_hex(KEY_ID_BYTES), secrets.token_hex(SECRET_BYTES)
     )
 
 
 def make_key(workspace: str, id_digits: str, secret: str) -> IssuedKey:
-    """Return a workspace's key with the given digits in hexadecimal."""
+    """Build a workspace's key from a given id and secret, both in hexadecimal."""
     key_id = KEY_ID_PREFIX + id_digits
     text = f"{KEY_PREFIX}_{key_id}_{secret}"
     return IssuedKey(text, KeyDigest(key_id, workspace, key_digest(text)))
 
 
 def is_key_id(text: str) -> bool:
-    """Tell whether the text can be the public part of a key."""
+    """Return whether the text has the format of a key id."""
     digits = text.removeprefix(KEY_ID_PREFIX)
     return len(digits) == 2 * KEY_ID_BYTES and set(digits) <= set("0123456789abcdef")
 
 
 def key_digest(text: str) -> str:
-    """Return the digest under which the document keeps a key."""
+    """Return the digest of a key, as the document stores it."""
     return hashlib.sha256(text.encode()).hexdigest()
 
 
 class KeyRing:
-    """Tells whose a key is, from the keys of one document."""
+    """Index of the keys of one document, for checking the keys that callers send."""
 
     def __init__(self, document: Document):
         self._entries = {key.key_id: key for key in document.keys}
 
     def find(self, text: str) -> KeyDigest | None:
-        """Return the entry of a key that was issued, withdrawn or not."""
+        """Return the entry of a key, also if it is withdrawn; None if unknown."""
         parts = text.split("_")
         if len(parts) != 3 or parts[0] != KEY_PREFIX:
             return None
--- a/packages/model/plantainshed_model/queries.py
+++ b/packages/model/plantainshed_model/queries.py
@@ -1,4 +1,4 @@
-"""Questions about a document."""
+"""Functions that look things up in documents and compare them."""
 
 import json
 
@@ -17,9 +17,9 @@
     Parameters
     ----------
     path : str
-        List and item, such as ``workspaces[comune]``.
+        Name of the list and of the item, such as ``workspaces[comune]``.
     before, after : str
-        The item as JSON, empty where it does not exist.
+        The item as JSON; empty if that document does not contain it.
     """
 
     path: str
@@ -28,7 +28,7 @@
 
 
 def pool_for_path(document: Document, path: str) -> Pool | None:
-    """Return the pool with the longest prefix that the path starts with."""
+    """Return the pool whose prefix is the longest match for the path, if any."""
     matches = [pool for pool in document.pools if _path_has_prefix(path, pool.prefix)]
     return max(matches, key=lambda pool: len(pool.prefix), default=None)
 
@@ -39,7 +39,7 @@
 
 
 def region_of(document: Document, failure_domain: str) -> str:
-    """Return the region of a failure domain, empty if it is not known."""
+    """Return the region of a failure domain; empty if the domain is unknown."""
     for domain in document.failure_domains:
         if domain.name == failure_domain:
             return domain.region
@@ -47,7 +47,7 @@
 
 
 def differences(before: Document, after: Document) -> list[Difference]:
-    """Return what differs, item by item, in the order of the document."""
+    """Compare two documents item by item, in the order of the document's fields."""
     fields_before = to_fields(before)
     fields_after = to_fields(after)
     found = []
