--- a/packages/operator/plantainshed/__init__.py
+++ b/packages/operator/plantainshed/__init__.py
@@ -1,5 +1,6 @@
-"""The operators' side: command line, console, reports and demo.
+"""The operators' tools: command line, web console, reports and demo.
 
-`changes` changes the document and the fleet, `views` only reads them; `cli`
-and `console` offer both to people. `demo` runs a whole fleet in one process.
+`changes` has the operations that change the document and the fleet, `views` those that
+only read them. `cli` and `console` are the user interfaces for both. `report` collects
+measurements from the fleet. `demo` runs a whole fleet in one process.
 """
--- a/packages/operator/plantainshed/changes.py
+++ b/packages/operator/plantainshed/changes.py
@@ -1,4 +1,4 @@
-"""What operators change: the document, and keys on the running fleet."""
+"""Operations that change the stored document, and keys on the running fleet."""
 
 import secrets
 from collections.abc import Callable
@@ -33,16 +33,17 @@
 
 @frozen
 class Withdrawal:
-    """How far a withdrawal has come when the command ends.
+    """Progress of a key's withdrawal when the command ends.
 
     Parameters
     ----------
     key_id : str
-    told : str
-        Control port of the VM that took it and spreads it; empty if none could
-        be reached.
+    notified_control : str
+        Address of the control port of the VM that accepted the withdrawal and
+        propagates it to the fleet; empty if no VM could be reached.
     revision : Revision or None
-        The document that records it; None if the store could not be reached.
+        The document revision that records the withdrawal; None if the store could
+        not be reached or did not confirm the change.
     """
 
     key_id: str
@@ -57,17 +58,19 @@
     reason: str,
     change_id: str = "",
 ) -> Revision:
-    """Put a whole new document in place of the one that it was made from.
+    """Store a new document, if the stored one is still the one it was based on.
 
     Raises
     ------
     InvalidDocument
-        With every fault; nothing was changed.
+        With all faults of the document. Nothing was changed.
     EditConflict
-        If somebody else was faster, with what they changed.
+        If another change was stored since ``base``, with the differences.
     Unconfirmed
-        If the store did not say what became of it. The message has the change
-        id; the same call with that id is safe.
+        If it is unknown whether the store applied the change. The message contains
+        the change id; repeating the call with this id is safe.
+    Unreachable
+        If the store could not be reached. Nothing was changed.
     """
     require_valid(document)
     change = Change(
@@ -90,17 +93,17 @@
     except CommitUnconfirmed as error:
         raise Unconfirmed(
             f"{error}. Repeat the command with --change-id={change.change_id}; "
-            "it takes effect once."
+            "the change is applied only once."
         ) from error
     except PlatformError as error:
         raise Unreachable(f"nothing was changed: {error}") from error
 
 
 async def edit(context: OperatorContext, change: Edit, reason: str) -> Revision:
-    """Apply a small edit to whatever the newest document is.
+    """Apply an edit to the newest document; retry it on a conflict.
 
-    Unlike a whole document typed by a person, an edit such as a drain can be
-    made again on top of what somebody else changed.
+    A small edit, such as adding a drain, can be applied again on top of another
+    operator's change. A whole document that a person wrote cannot.
     """
     attempts_left = EDIT_ATTEMPTS
     while True:
@@ -116,7 +119,7 @@
 async def issue(
     context: OperatorContext, workspace: str, reason: str
 ) -> tuple[IssuedKey, Revision]:
-    """Issue a key; its text is nowhere else afterwards."""
+    """Issue a key. Its text is only in the return value and is not stored."""
     key = issue_key(workspace)
     revision = await edit(
         context, lambda document: commands.add_key(document, key.entry), reason
@@ -125,13 +128,13 @@
 
 
 async def withdraw(context: OperatorContext, key_id: str, reason: str) -> Withdrawal:
-    """Withdraw a key: tell the fleet at once, and record it in the document.
+    """Withdraw a key on the running fleet, then record it in the document.
 
-    The fleet is told first and without the store, so that an outage of the
-    store does not keep a key alive.
+    The fleet is notified first, without going through the store, so that a key can
+    be withdrawn during an outage of the store.
     """
     if not is_key_id(key_id):
-        raise BadUsage(f"key_id: {key_id!r} is not a key id; 'key list' shows them")
+        raise BadUsage(f"key_id: {key_id!r} is not a key id; see 'key list'")
     notified_control = await _notify_fleet(context, key_id)
     revision = None
     try:
--- a/packages/operator/plantainshed/cli/__init__.py
+++ b/packages/operator/plantainshed/cli/__init__.py
@@ -20,7 +20,7 @@
 
 
 def main():
-    """Run the command line; errors are written for the person who typed it."""
+    """Run the command line; print errors without a traceback and set the exit code."""
     try:
         fire.Fire(Plantainshed, name="plantainshed")
     except (OperatorError, ModelError) as error:
--- a/packages/operator/plantainshed/cli/commands.py
+++ b/packages/operator/plantainshed/cli/commands.py
@@ -1,4 +1,4 @@
-"""The commands, grouped by what they are about."""
+"""The top-level commands, and the groups of subcommands."""
 
 import sys
 from pathlib import Path
@@ -17,14 +17,14 @@
 
 
 class Plantainshed:
-    """Steer traffic: the operators' command line.
+    """Operate the traffic steering system.
 
     Parameters
     ----------
     settings : str
         Path of the operators' settings file.
     json : bool
-        Print JSON for programs.
+        Print JSON instead of text.
     """
 
     def __init__(self, settings: str = DEFAULT_SETTINGS, json: bool = False):
@@ -35,20 +35,20 @@
         self.shift = ShiftCommands(self._session)
 
     def status(self):
-        """Show each VM, and what is in force there."""
+        """Show the state of each VM and the document version that it applies."""
         print_status(self._session)
 
     def report(self, format: str = "text", output: str = "", hours: float = 24.0):
-        """Write the page of measured facts for the parent group.
+        """Write the report of measured facts for the parent group.
 
         Parameters
         ----------
         format : str
             text, json or html.
         output : str
-            File to write; the terminal if empty.
+            File to write; standard output if empty.
         hours : float
-            How far back the history goes.
+            Age limit of the listed changes.
         """
         if format not in FORMATS:
             raise BadUsage(f"--format: {format!r} is not one of {', '.join(FORMATS)}")
@@ -59,7 +59,7 @@
             print(text, end="")
 
     def console(self):
-        """Serve the console of forms until interrupted."""
+        """Serve the web console until interrupted."""
         from ..console.server import run_console
         from ..settings import load_operator_settings
 
@@ -70,7 +70,9 @@
             sys.exit(ExitCode.OK)
 
     def demo(self, deployment: str = "cerimonia"):
-        """Run a whole fleet on loopback under a short load, and judge it.
+        """Run a whole fleet on loopback under a short load, and check the results.
+
+        The exit code is not 0 if a requirement is violated.
 
         Parameters
         ----------
--- a/packages/operator/plantainshed/cli/document_commands.py
+++ b/packages/operator/plantainshed/cli/document_commands.py
@@ -1,4 +1,4 @@
-"""``plantainshed document``: the whole document as a text."""
+"""``plantainshed document``: commands on the whole document as JSON text."""
 
 from pathlib import Path
 
@@ -18,13 +18,13 @@
 
 
 class DocumentCommands:
-    """Show, check, compare and change the document."""
+    """Show, validate, compare and replace the document."""
 
     def __init__(self, session: Session):
         self._session = session
 
     def show(self, version: int = 0):
-        """Print the stored document, or an older version of it."""
+        """Print the stored document; the newest version if VERSION is 0."""
         if version:
             shown = self._session.run(load_version, version)
         else:
@@ -33,31 +33,31 @@
 
     @SetParseFn(str, "file")
     def check(self, file: str):
-        """Say whether a file is a valid document; name every fault."""
+        """Check whether a file is a valid document; list all faults."""
         require_valid(from_text(_read(file)))
         print(f"{file}: valid")
 
     @SetParseFn(str, "file")
     def diff(self, file: str):
-        """Show what applying a file would change."""
+        """Show the changes that applying a file would make."""
         document = from_text(_read(file))
         stored = self._session.run(load_current)
         self._print_differences(differences(stored.document, document))
 
     @SetParseFn(str, "file", "reason", "change_id")
     def apply(self, file: str, reason: str, base: int = 0, change_id: str = ""):
-        """Put a file's document in force, whole or not at all.
+        """Replace the stored document by a file, atomically.
 
         Parameters
         ----------
         file : str
         reason : str
-            Kept in the history.
+            Recorded in the history.
         base : int
-            Version that the file was made from; refused if it is not the
-            newest any more. The newest if 0.
+            Version that the file is based on. The command fails if it is no longer
+            the newest version. 0 stands for the newest.
         change_id : str
-            Of an earlier try whose outcome is unknown.
+            Id of an earlier attempt whose outcome is unknown.
         """
         document = require_valid(from_text(_read(file)))
 
@@ -71,7 +71,7 @@
 
     @SetParseFn(str, "reason")
     def back(self, version: int, reason: str):
-        """Make an older version the newest again, as a new version."""
+        """Roll back to an older version, by storing it as a new version."""
 
         async def go_back(context):
             old = await load_version(context, version)
@@ -81,7 +81,7 @@
         print_revision(self._session.run(go_back), self._session.json)
 
     def history(self, limit: int = HISTORY_ROWS):
-        """List who changed what, when and why, newest first."""
+        """List the revisions with author, time and reason, newest first."""
         rows = [
             {
                 "version": revision.version,
--- a/packages/operator/plantainshed/cli/fleet_commands.py
+++ b/packages/operator/plantainshed/cli/fleet_commands.py
@@ -21,7 +21,7 @@
 
     @SetParseFn(str, "workspace", "reason")
     def issue(self, workspace: str, reason: str = "key issued"):
-        """Issue a key for a workspace; it is shown this once."""
+        """Issue a key for a workspace; the key is shown only once."""
         key, revision = self._session.run(issue, workspace, reason)
         if self._session.json:
             print_json(
@@ -32,11 +32,11 @@
                 }
             )
         else:
-            print(f"{key.text}\nKeep it now: it cannot be shown again.")
+            print(f"{key.text}\nSave it now: it cannot be shown again.")
 
     @SetParseFn(str, "key_id", "reason")
     def withdraw(self, key_id: str, reason: str = "key withdrawn"):
-        """Withdraw a key: on the running fleet at once, then in the document."""
+        """Withdraw a key on the running fleet, then record it in the document."""
         withdrawal = self._session.run(withdraw, key_id, reason)
         version = withdrawal.revision.version if withdrawal.revision else None
         if self._session.json:
@@ -55,7 +55,7 @@
         if version:
             print(f"recorded in version {version}")
         else:
-            print("NOT recorded: the store cannot be reached; repeat when it can")
+            print("NOT recorded: the store cannot be reached; repeat the command later")
         print("'plantainshed status' shows which VMs have confirmed it")
 
     @SetParseFn(str, "workspace")
@@ -75,14 +75,14 @@
 
 
 class DrainCommands:
-    """Empty a target, a VM or a failure domain without cutting a request."""
+    """Drain a target, a VM or a failure domain without interrupting requests."""
 
     def __init__(self, session: Session):
         self._session = session
 
     @SetParseFn(str, "kind", "name", "reason")
     def start(self, kind: str, name: str, reason: str = "drain"):
-        """Begin a drain; KIND is target, vm or failure_domain."""
+        """Start a drain; KIND is target, vm or failure_domain."""
         self._edit(
             lambda document: commands.start_drain(document, _parse_kind(kind), name),
             reason,
@@ -90,14 +90,14 @@
 
     @SetParseFn(str, "kind", "name", "reason")
     def end(self, kind: str, name: str, reason: str = "drain ended"):
-        """Take a drain back."""
+        """End a drain."""
         self._edit(
             lambda document: commands.end_drain(document, _parse_kind(kind), name),
             reason,
         )
 
     def list(self):
-        """List what is being drained."""
+        """List the drains."""
         drains = self._session.run(load_current).document.drains
         rows = [{"kind": str(drain.kind), "name": drain.name} for drain in drains]
         print_rows(rows, self._session.json)
@@ -107,7 +107,7 @@
 
 
 class ShiftCommands:
-    """Move a pool's traffic between two regions, under a cap."""
+    """Move a pool's traffic between two regions, with a rate limit."""
 
     def __init__(self, session: Session):
         self._session = session
@@ -122,28 +122,28 @@
         cap: float,
         reason: str = "shift",
     ):
-        """Start a shift; CAP is the requests a second that may be moved."""
+        """Start a shift; CAP limits the moved traffic, in requests per second."""
         shift = Shift(name, pool, from_region, to_region, float(cap))
         self._edit(lambda document: commands.put_shift(document, shift), reason)
 
     @SetParseFn(str, "name", "reason")
     def stop(self, name: str, reason: str = "shift stopped"):
-        """Stop moving more; the cap stays in force."""
+        """Stop increasing the moved traffic; the cap stays in force."""
         self._set_state(name, ShiftState.STOPPED, reason)
 
     @SetParseFn(str, "name", "reason")
     def resume(self, name: str, reason: str = "shift resumed"):
-        """Go on with a shift."""
+        """Resume a stopped or reversed shift."""
         self._set_state(name, ShiftState.RUNNING, reason)
 
     @SetParseFn(str, "name", "reason")
     def reverse(self, name: str, reason: str = "shift reversed"):
-        """Move in the other direction, under the same cap."""
+        """Move the traffic in the other direction, with the same cap."""
         self._set_state(name, ShiftState.REVERSED, reason)
 
     @SetParseFn(str, "name", "reason")
     def remove(self, name: str, reason: str = "shift removed"):
-        """Take a shift off the list, and its cap with it."""
+        """Remove a shift together with its cap."""
         self._edit(lambda document: commands.remove_shift(document, name), reason)
 
     def list(self):
@@ -171,7 +171,7 @@
 
 
 def print_status(session: Session):
-    """Print what the first VM that answers knows of the fleet."""
+    """Print the status of the fleet, as known to the first VM that answers."""
     status = session.run(fleet_status)
     if session.json:
         print_json(status)
--- a/packages/operator/plantainshed/cli/output.py
+++ b/packages/operator/plantainshed/cli/output.py
@@ -1,15 +1,15 @@
-"""Printing results: text for people, JSON for programs."""
+"""Output of results as text or JSON."""
 
 import json
 
 
 def print_json(value):
-    """Print a value as one JSON object."""
+    """Print a value as indented JSON."""
     print(json.dumps(value, indent=2, default=str))
 
 
 def print_table(rows: list[dict]):
-    """Print rows as aligned columns; the first row names them."""
+    """Print rows as aligned columns, with the keys of the first row as header."""
     if not rows:
         print("(none)")
         return
@@ -31,7 +31,7 @@
 
 
 def print_revision(revision, as_json: bool):
-    """Print what a change became."""
+    """Print the version and the change id of an accepted change."""
     if as_json:
         print_json({"version": revision.version, "change_id": revision.change_id})
     else:
--- a/packages/operator/plantainshed/cli/session.py
+++ b/packages/operator/plantainshed/cli/session.py
@@ -1,4 +1,4 @@
-"""Running one command against a platform and a fleet."""
+"""Execution of one command, with the dependencies that it needs."""
 
 import trio
 
@@ -7,14 +7,14 @@
 
 
 class Session:
-    """What all commands of one invocation share.
+    """The options of one invocation, shared by all command groups.
 
     Parameters
     ----------
     settings : str
         Path of the operators' settings file.
     json : bool
-        Whether to print JSON for programs instead of text for people.
+        Whether to print JSON instead of text.
     """
 
     def __init__(self, settings: str, json: bool):
@@ -22,7 +22,7 @@
         self.json = json
 
     def run(self, function, *arguments):
-        """Run an async function that takes a context first; return its result."""
+        """Call an async function with a new `OperatorContext` as first argument."""
 
         async def run_in_context():
             async with open_context(load_operator_settings(self.settings)) as context:
@@ -32,6 +32,8 @@
 
 
 def _run_and_unwrap_errors(async_function):
+    # Nurseries wrap errors in exception groups, which `main` does not handle. Raises
+    # the first error of a group instead.
     try:
         return trio.run(async_function)
     except BaseExceptionGroup as group:
--- a/packages/operator/plantainshed/context.py
+++ b/packages/operator/plantainshed/context.py
@@ -1,4 +1,4 @@
-"""What operators' commands work with, handed in instead of globals."""
+"""The dependencies of operators' commands, passed in instead of globals."""
 
 import contextlib
 
@@ -14,14 +14,17 @@
 
 @frozen
 class OperatorContext:
-    """The surroundings of one command.
+    """The dependencies of one command.
 
     Parameters
     ----------
     settings : OperatorSettings
     platform : Platform
+        Client of the platform's object store.
     store : DocumentStore
+        The traffic documents on the platform.
     control : ControlClient
+        Sends commands to the control ports of entry VMs.
     """
 
     settings: OperatorSettings
@@ -30,13 +33,13 @@
     control: ControlClient
 
     def with_operator(self, operator: str) -> "OperatorContext":
-        """Return the same context with another author of changes."""
+        """Return a copy of the context that records changes under another author."""
         return evolve(self, settings=evolve(self.settings, operator=operator))
 
 
 @contextlib.asynccontextmanager
 async def open_context(settings: OperatorSettings):
-    """Have a context for the length of a block."""
+    """Create a context; close its connections when the block ends."""
     platform = HttpPlatform(settings.platform)
     control = ControlClient()
     try:
--- a/packages/operator/plantainshed/errors.py
+++ b/packages/operator/plantainshed/errors.py
@@ -1,22 +1,22 @@
-"""Errors of the operators' side, written for the person at the terminal."""
+"""Errors of the operators' tools. Their messages are shown to the operator."""
 
 
 class OperatorError(Exception):
-    """Base of the operators' errors."""
+    """Base class of the errors of this package."""
 
 
 class BadUsage(OperatorError):
-    """The command was not given what it needs."""
+    """An argument or a setting is missing or not valid."""
 
 
 class EditConflict(OperatorError):
-    """Somebody else changed the document meanwhile.
+    """The document was changed by someone else since the edit was started.
 
     Parameters
     ----------
     message : str
     differences : list of plantainshed_model.queries.Difference
-        What changed under the edit.
+        The other change.
     """
 
     def __init__(self, message, differences):
@@ -29,4 +29,4 @@
 
 
 class Unconfirmed(OperatorError):
-    """Whether the change took effect is not known; ask again with its id."""
+    """It is unknown whether the change took effect; retry it with the same id."""
--- a/packages/operator/plantainshed/settings.py
+++ b/packages/operator/plantainshed/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the operators' side, read from an INI file and checked."""
+"""Settings of the operators' tools, read from an INI file and validated."""
 
 import configparser
 from pathlib import Path
@@ -15,21 +15,22 @@
 
 @frozen
 class OperatorSettings:
-    """What operators' commands need to know.
+    """Settings of the operators' commands and console.
 
     Parameters
     ----------
     platform : str
         ``IP:PORT`` of the platform's object store.
     controls : tuple of str
-        ``IP:PORT`` of some entry VMs' control ports.
+        ``IP:PORT`` of the control ports of some entry VMs.
     credential : str
-        The fleet's secret, which commands to VMs bear.
+        The fleet's secret, which authenticates commands to VMs.
     operator : str
-        Who is recorded as the author of changes.
+        Name that is recorded as the author of changes.
     console_listen : str
+        ``IP:PORT`` on which the console listens.
     console_password : str
-        What operators enter to use the console.
+        Password with which operators log in to the console.
     """
 
     platform: str
@@ -41,7 +42,13 @@
 
 
 def load_operator_settings(path: str) -> OperatorSettings:
-    """Read a settings file, or raise `BadUsage` with every fault."""
+    """Read and validate a settings file.
+
+    Raises
+    ------
+    BadUsage
+        If the file cannot be read or is not valid, with all faults.
+    """
     parser = configparser.ConfigParser(interpolation=None)
     try:
         parser.read_string(Path(path).read_text())
@@ -49,7 +56,7 @@
         raise BadUsage(f"{path}: {error}") from error
     faults = list(_find_faults(parser))
     if faults:
-        raise BadUsage(f"{path} cannot be used:\n  " + "\n  ".join(faults))
+        raise BadUsage(f"{path} is not valid:\n  " + "\n  ".join(faults))
     return OperatorSettings(
         platform=parser["platform"]["address"],
         controls=tuple(_control_addresses(parser)),
--- a/packages/operator/plantainshed/views.py
+++ b/packages/operator/plantainshed/views.py
@@ -1,4 +1,4 @@
-"""What operators ask: the document, its history, and the state of the fleet."""
+"""Read operations: the document, its history, and the status of the fleet."""
 
 import orjson
 from attrs import frozen
@@ -20,14 +20,14 @@
 
 @frozen
 class StoredDocument:
-    """The document as it is stored now, with its revision."""
+    """A document from the store, with its revision."""
 
     revision: Revision
     document: Document
 
 
 async def load_current(context: OperatorContext) -> StoredDocument:
-    """Return the stored document, an empty one before the first."""
+    """Return the newest document, or an empty one if none has been stored yet."""
     try:
         revision = (await context.store.root()).revision
         segments = await context.store.segments(revision)
@@ -37,7 +37,7 @@
 
 
 async def history(context: OperatorContext, limit: int) -> list[Revision]:
-    """Return the newest revisions, newest first."""
+    """Return the most recent revisions, newest first."""
     try:
         return await context.store.history(limit)
     except (PlatformError, DocumentError) as error:
@@ -55,9 +55,9 @@
 
 
 async def fleet_status(context: OperatorContext) -> dict:
-    """Return what the first VM that can be reached knows of the fleet.
+    """Return the status of the fleet, as known to the first VM that answers.
 
-    VMs that cannot be reached are listed with what is known of them last.
+    For a VM that this VM cannot reach, the status contains the last known values.
     """
     failures = []
     for control in context.settings.controls:
@@ -69,5 +69,5 @@
             failures.append(str(error))
             continue
         return orjson.loads(value)
-    tried = "; ".join(failures) or "the settings name no control port"
+    tried = "; ".join(failures) or "the settings list no control ports"
     raise Unreachable(f"no entry VM could be asked: {tried}")
