--- a/packages/operator/plantainshed/cli/fleet_commands.py
+++ b/packages/operator/plantainshed/cli/fleet_commands.py
@@ -128,7 +128,7 @@
 
     @SetParseFn(str, "name", "reason")
     def stop(self, name: str, reason: str = "shift stopped"):
-        """Stop increasing the moved traffic; the cap stays in force."""
+        """Stop moving traffic; the cap still limits overflow between the regions."""
         self._set_state(name, ShiftState.STOPPED, reason)
 
     @SetParseFn(str, "name", "reason")
--- a/packages/operator/plantainshed/console/__init__.py
+++ b/packages/operator/plantainshed/console/__init__.py
@@ -1,5 +1,6 @@
-"""The console of forms: pages rendered here, working without scripts.
+"""The web console: pages rendered on the server, usable without JavaScript.
 
-`server` answers requests, `sessions` knows who is logged in, `pages` shows,
-`actions` changes, `forms` turns what was typed into parts of the document.
+`server` handles HTTP requests, `sessions` logins. `pages` renders the pages, `actions`
+makes the changes that forms request, and `forms` converts form input to items of the
+document.
 """
--- a/packages/operator/plantainshed/console/actions.py
+++ b/packages/operator/plantainshed/console/actions.py
@@ -1,4 +1,7 @@
-"""What forms change. Each returns the message that the next page shows."""
+"""The changes that forms request.
+
+Each action returns a message, which the next page shows.
+"""
 
 from attrs import frozen
 
@@ -22,13 +25,14 @@
 
 @frozen
 class ActionResult:
-    """What a form has done.
+    """Result of a submitted form.
 
     Parameters
     ----------
     message : str
+        Confirmation for the operator.
     secret : str
-        A new key's text, shown this once.
+        The text of a new key, which is shown only once; otherwise empty.
     """
 
     message: str
@@ -40,8 +44,9 @@
 ) -> ActionResult:
     """Save a workspace, pool, target, shift or drain.
 
-    The form knows the version that it was shown from. If somebody changed this
-    very item since, nothing is saved and the form comes back as typed.
+    The form contains the document version that it was rendered from. If someone
+    changed the same item since that version, nothing is saved, and the form is shown
+    again with the operator's input.
     """
     item = parse_item(kind, form)
     reason = form.get("reason", "").strip() or f"{kind}: {item.name}"
@@ -52,8 +57,8 @@
         now = find_item(document, kind, item)
         if now != before:
             raise EditConflict(
-                f"{item.name} was changed by somebody else while you typed; it "
-                f"is now {_describe(now)}. Save again to replace that.",
+                f"{item.name} was changed by someone else in the meantime; it is now "
+                f"{_describe(now)}. Save again to overwrite it.",
                 [],
             )
         if isinstance(item, Drain):
@@ -65,7 +70,7 @@
 
 
 async def end_drain(context: OperatorContext, form: dict[str, str]) -> ActionResult:
-    """Take a drain back."""
+    """End a drain."""
     drain = parse_item("drains", form)
     revision = await edit(
         context,
@@ -102,7 +107,7 @@
 
 
 def find_item(document: Document, kind: str, item):
-    """Return the item of the same name in a document, None without one."""
+    """Return the document's item of the same name as ``item``; None if missing."""
     for other in getattr(document, kind):
         if isinstance(item, Drain):
             if other == item:
@@ -113,13 +118,19 @@
 
 
 def require_item(document: Document, kind: str, name: str):
-    """Return an item by name, or raise `UnknownName`."""
+    """Return an item by name.
+
+    Raises
+    ------
+    UnknownName
+        If there is no such kind or no such item.
+    """
     if kind not in KINDS:
-        raise UnknownName(f"there is no page {kind!r}")
+        raise UnknownName(f"there is no page named {kind!r}")
     for item in getattr(document, kind):
         if item.name == name:
             return item
-    raise UnknownName(f"{kind}: there is none named {name!r}")
+    raise UnknownName(f"{kind}: there is no item named {name!r}")
 
 
 def _describe(item) -> str:
--- a/packages/operator/plantainshed/console/forms.py
+++ b/packages/operator/plantainshed/console/forms.py
@@ -1,4 +1,4 @@
-"""What was typed into forms, turned into parts of the document."""
+"""Conversion between items of the document and form fields."""
 
 from attrs import fields, frozen
 
@@ -21,18 +21,18 @@
     "drains": Drain,
 }
 LABELS = {
-    "rate": "requests a second, whole fleet",
+    "rate": "requests per second, whole fleet",
     "burst": "requests at once, whole fleet",
-    "offline_limit_s": "seconds that keys go on working in a domain cut off",
+    "offline_limit_s": "seconds that keys stay valid in an isolated domain",
     "prefix": "path prefix, such as /prenota",
-    "slots": "requests that one target runs at a time",
-    "connections": "connections that one target accepts",
+    "slots": "concurrent requests per target",
+    "connections": "connections per target, whole fleet",
     "probe_path": "path of the health check",
-    "timeout_s": "seconds until a request's deadline",
-    "service_time_s": "expected seconds in a slot",
-    "ramp_s": "seconds until a returning target gets its full share",
+    "timeout_s": "default request timeout in seconds",
+    "service_time_s": "expected service time in seconds",
+    "ramp_s": "seconds until a new or returning target gets its full share",
     "address": "IP:PORT",
-    "cap": "most requests a second that may be moved",
+    "cap": "limit of moved requests per second",
     "state": "running, stopped or reversed",
     "kind": "target, vm or failure_domain",
 }
@@ -46,7 +46,7 @@
     ----------
     name, label, value : str
     choices : tuple of str
-        What can be chosen; empty for free text.
+        The allowed values; empty for free text.
     """
 
     name: str
@@ -56,7 +56,7 @@
 
 
 def form_fields(kind: str, values: dict[str, str], document) -> list[FormField]:
-    """Return the fields of the form for one kind of item."""
+    """Return the form fields for one kind of item, filled with ``values``."""
     return [
         FormField(
             attribute.name,
@@ -69,7 +69,7 @@
 
 
 def form_values(item) -> dict[str, str]:
-    """Return an item's fields as they stand in a form."""
+    """Return an item's fields formatted as form input."""
     return {
         attribute.name: _format_value(getattr(item, attribute.name))
         for attribute in fields(type(item))
@@ -77,7 +77,13 @@
 
 
 def parse_item(kind: str, form: dict[str, str]):
-    """Return the item that was typed, or raise `InvalidDocument`."""
+    """Create an item from form input.
+
+    Raises
+    ------
+    InvalidDocument
+        With all fields whose input is not valid.
+    """
     values, faults = {}, []
     for attribute in fields(KINDS[kind]):
         typed = form.get(attribute.name, "").strip()
--- a/packages/operator/plantainshed/console/pages.py
+++ b/packages/operator/plantainshed/console/pages.py
@@ -1,4 +1,4 @@
-"""What the console shows."""
+"""Rendering of the console's pages."""
 
 from pathlib import Path
 
@@ -34,13 +34,13 @@
 
 
 def render(template: str, session, **values) -> bytes:
-    """Render a page; everything in it is escaped."""
+    """Render a template; all values are HTML-escaped."""
     page = environment.get_template(template)
     return page.render(session=session, **values).encode()
 
 
 async def overview(context: OperatorContext, session, **extra) -> bytes:
-    """Show every VM, and what is in force there."""
+    """Render the state of all VMs and the document version that each one applies."""
     status, problem = None, ""
     try:
         status = await fleet_status(context)
@@ -65,14 +65,15 @@
 async def items(
     context: OperatorContext, session, kind: str, name: str = "", typed=None, **extra
 ) -> bytes:
-    """Show a kind of item with the form to add or change one.
+    """Render the items of one kind, and a form to add or change one.
 
     Parameters
     ----------
     name : str
         Item to change; empty to add one.
     typed : dict of str to str, optional
-        What was typed before, so that a refused form loses none of it.
+        The input of a rejected form, shown again so that the operator need not
+        retype it.
     """
     stored = await load_current(context)
     values = dict(typed or {})
@@ -94,7 +95,7 @@
 
 
 async def keys(context: OperatorContext, session, **extra) -> bytes:
-    """Show keys by their public ids."""
+    """Render the list of keys, by their public ids."""
     stored = await load_current(context)
     return render(
         "keys.html",
@@ -107,7 +108,7 @@
 
 
 async def changes(context: OperatorContext, session, **extra) -> bytes:
-    """Show who changed what, when and why."""
+    """Render the history of revisions, with author, time and reason."""
     revisions = await history(context, HISTORY_ROWS)
     return render(
         "history.html", session, active_path="history", revisions=revisions, **extra
@@ -115,10 +116,10 @@
 
 
 def login(problem: str = "") -> bytes:
-    """Show the form to log in."""
+    """Render the login form."""
     return render("login.html", None, active_path=None, problem=problem)
 
 
 def is_item_page(name: str) -> bool:
-    """Tell whether a page lists items of the document."""
+    """Return whether the page of this name lists items of the document."""
     return name in KINDS
--- a/packages/operator/plantainshed/console/server.py
+++ b/packages/operator/plantainshed/console/server.py
@@ -33,7 +33,7 @@
     """Serve the console until cancelled."""
     if not settings.console_password:
         raise BadUsage(
-            "[console] password_file: the console needs one; operators log in with it"
+            "[console] password_file: not set; the console needs a password for logins"
         )
     host, port = split_address(settings.console_listen)
     listeners = await trio.open_tcp_listeners(port, host=host)
@@ -43,7 +43,7 @@
 
 
 class Console:
-    """Answers the console's requests."""
+    """Request handler of the console."""
 
     def __init__(self, context: OperatorContext):
         self.context = context
@@ -71,7 +71,7 @@
             form.get("operator", "").strip(), form.get("password", "")
         )
         if cookie is None:
-            page = pages.login("That is not the password.")
+            page = pages.login("Wrong password.")
             await exchange.reply(403, PAGE_HEADERS, page)
             return
         headers = [(b"location", b"/"), (b"set-cookie", cookie.encode())]
@@ -93,7 +93,7 @@
                 "problem.html",
                 session,
                 active_path=name,
-                problem="There is no such page.",
+                problem="Page not found.",
             )
             status = 404
         await exchange.reply(status, PAGE_HEADERS, body)
@@ -120,7 +120,7 @@
                 "problem.html",
                 session,
                 active_path=None,
-                problem="This form did not come from the console. Nothing was done.",
+                problem="Invalid form token. Nothing was changed.",
             )
             await exchange.reply(403, PAGE_HEADERS, body)
             return
@@ -151,7 +151,7 @@
             return await actions.end_drain(context, form)
         if pages.is_item_page(name) and action == "save":
             return await actions.save_item(context, name, form)
-        raise BadUsage(f"there is nothing to do at /{name}/{action}")
+        raise BadUsage(f"there is no action /{name}/{action}")
 
     def _context_of(self, session: OperatorSession) -> OperatorContext:
         return self.context.with_operator(session.operator)
--- a/packages/operator/plantainshed/console/sessions.py
+++ b/packages/operator/plantainshed/console/sessions.py
@@ -1,4 +1,4 @@
-"""Who is logged in, and the token that protects their forms."""
+"""Login sessions, and their tokens against cross-site request forgery (CSRF)."""
 
 import hmac
 import secrets
@@ -20,11 +20,12 @@
     Parameters
     ----------
     operator : str
-        Who changes are recorded under.
+        Name that is recorded as the author of changes.
     form_token : str
-        Every form that changes something bears it, so that another site's
-        page cannot send one in the operator's name.
-    until : float
+        CSRF token. Every form that makes a change contains it, so that a page of
+        another site cannot submit forms on behalf of the operator.
+    expires_at : float
+        Time of trio's clock at which the session ends.
     """
 
     operator: str
@@ -38,7 +39,7 @@
     Parameters
     ----------
     password : str
-        What operators enter; from the settings.
+        Password that operators log in with, from the settings.
     """
 
     def __init__(self, password: str):
@@ -46,9 +47,9 @@
         self._sessions: dict[str, OperatorSession] = {}
 
     async def log_in(self, operator: str, password: str) -> str | None:
-        """Return the cookie of a new session, None for a wrong password."""
+        """Return the cookie of a new session, or None if the password is wrong."""
         if not hmac.compare_digest(password.encode(), self.password.encode()):
-            # Slows down whoever tries passwords, and nobody else.
+            # Slows down password guessing without delaying other requests.
             await trio.sleep(FAILED_LOGIN_DELAY_S)
             return None
         name = secrets.token_urlsafe(TOKEN_BYTES)
@@ -60,7 +61,7 @@
         return f"{COOKIE}={name}; HttpOnly; SameSite=Strict; Path=/"
 
     def find(self, cookie_header: str | None) -> OperatorSession | None:
-        """Return the session of a request's cookie header."""
+        """Return the session that a cookie header refers to, if it is still valid."""
         try:
             cookies = SimpleCookie(cookie_header or "")
         except CookieError:
@@ -74,5 +75,5 @@
     def is_form_token_valid(
         self, session: OperatorSession, form: dict[str, str]
     ) -> bool:
-        """Tell whether a form came from a page that this console made."""
+        """Return whether a form contains the session's CSRF token."""
         return hmac.compare_digest(form.get("form_token", ""), session.form_token)
--- a/packages/operator/plantainshed/report/__init__.py
+++ b/packages/operator/plantainshed/report/__init__.py
@@ -1,5 +1,6 @@
-"""The page of measured facts for the parent group.
+"""The report of measured facts for the parent group.
 
-`gather` asks every VM and the history, `page` writes the answer as text, JSON
-or HTML. What could not be asked is named, never left out.
+`gather` collects the data from all VMs and from the document's history. `page` renders
+it as text, JSON or HTML. The report lists every source that did not answer, so that
+missing data is never hidden.
 """
--- a/packages/operator/plantainshed/report/gather.py
+++ b/packages/operator/plantainshed/report/gather.py
@@ -1,4 +1,4 @@
-"""Collecting facts from the fleet and the document's history."""
+"""Collection of the report's data from the fleet and the document's history."""
 
 from collections import Counter
 from datetime import UTC, datetime, timedelta
@@ -21,23 +21,27 @@
 
 @define
 class Report:
-    """What the parent group asks.
+    """The data of the report. Counts are since the start of each VM.
 
     Attributes
     ----------
     made_at : str
     unknown : list of str
-        What could not be asked, and why.
+        Sources that did not answer, each with the error.
     answered : dict of str to int
-        By workspace.
+        Number of answered requests, by workspace.
     refused : list of dict
-        ``reason``, ``outcome``, ``workspace`` and ``count``.
+        Refused requests. Each item has ``reason``, ``outcome``, ``workspace`` and
+        ``count``.
     headroom : dict of str to dict of str to float
-        Smallest free share of slots, by failure domain and pool.
+        Lowest fraction of free slots, by failure domain and pool.
     drains : dict of str to float
-        Seconds until a drained target was empty; the slowest VM counts.
+        Seconds until a drained target was idle, by target; the maximum over all
+        VMs.
     incidents : list of dict
+        Incidents, each with the VM that recorded it as ``seen_by``.
     changes : list of Revision
+        Changes of the document in the reported period.
     """
 
     made_at: str
@@ -50,13 +54,13 @@
     changes: list[Revision] = field(factory=list)
 
     def refused_within_rate(self) -> int:
-        """Return refusals that came after the rate had let the request through."""
+        """Return how many requests were refused although within their rate limit."""
         return sum(
             row["count"] for row in self.refused if row["reason"] in WITHIN_RATE_REASONS
         )
 
     def served_shares(self) -> dict[str, float]:
-        """Return the share of requests answered, by workspace, worst first."""
+        """Return the fraction of answered requests by workspace, lowest first."""
         refused = Counter()
         for row in self.refused:
             refused[row["workspace"]] += row["count"]
@@ -70,7 +74,13 @@
 
 
 async def gather(context: OperatorContext, hours: float) -> Report:
-    """Ask every VM and the store; name what does not answer."""
+    """Query all VMs and the store; list in the report those that do not answer.
+
+    Parameters
+    ----------
+    hours : float
+        Age limit of the listed changes.
+    """
     report = Report(datetime.now(UTC).isoformat(timespec="seconds"))
     await _collect_fleet_facts(context, report)
     try:
--- a/packages/operator/plantainshed/report/page.py
+++ b/packages/operator/plantainshed/report/page.py
@@ -1,4 +1,4 @@
-"""The report as text, JSON or HTML."""
+"""Rendering of the report as text, JSON or HTML."""
 
 import json
 from pathlib import Path
@@ -28,7 +28,7 @@
 
 
 async def report_html(context: OperatorContext) -> bytes:
-    """Return the report as a page for the console."""
+    """Return the report as an HTML page for the console."""
     return (await report_as(context, "html", DEFAULT_HOURS)).encode()
 
 
