--- a/packages/operator/plantainshed/demo/__init__.py
+++ b/packages/operator/plantainshed/demo/__init__.py
@@ -1,5 +1,6 @@
-"""A whole fleet in one process, on loopback, with stand-ins and a short load.
+"""Demo: a whole fleet in one process on loopback, under a short load.
 
-`deployment` reads an example, `fleet` starts the processes' parts, `callers`
-makes the load, `outcomes` judges it, `story` tells it from start to end.
+The platform and the targets are stand-ins. `deployment` loads an example, `fleet` runs
+the platform, the targets and the entry daemons. `callers` generates the load,
+`outcomes` checks the results, and `story` runs the demo from start to end.
 """
--- a/packages/operator/plantainshed/demo/callers.py
+++ b/packages/operator/plantainshed/demo/callers.py
@@ -1,4 +1,4 @@
-"""Callers as they behave: they ask which VM to use, cache that, and repeat."""
+"""Callers of the demo: they look up entry VMs, cache the result and retry requests."""
 
 import random
 import secrets
@@ -23,7 +23,7 @@
 
 @frozen
 class CachedLookup:
-    """A look-up's answer and how long it may be used."""
+    """The entry VMs that a lookup returned, and when that answer expires."""
 
     entries: list[dict]
     expires_at: float
@@ -31,14 +31,15 @@
 
 @frozen
 class CallerRequest:
-    """A request that a caller wants answered once.
+    """A request of a caller, independent of the attempts to send it.
 
     Parameters
     ----------
     method, path : str
     body : bytes
     is_booking : bool
-        Whether it must not run twice.
+        Whether the request must run at most once. It is then sent with an
+        operation id.
     """
 
     method: str
@@ -49,19 +50,21 @@
 
 @define
 class Caller:
-    """A tenant's program near one client address.
+    """A client program of one workspace.
 
     Parameters
     ----------
     client : str
-        Its address, as the look-up is told.
+        Client address, sent with lookups.
     key : str
+        API key of the workspace.
     bootstrap : callable
-        Returns addresses where look-ups are answered.
+        Returns the addresses of entry VMs that answer lookups.
     tally : Tally
+        Counts the results.
     rate : float
-        Requests a second that it makes, below its workspace's rate: whatever
-        is refused for its rate is refused wrongly.
+        Requests per second. It is below the workspace's rate limit, so that every
+        refusal because of the rate limit is wrong.
     """
 
     client: str
@@ -74,7 +77,7 @@
     rng: random.Random = field(factory=lambda: random.Random(SEED))
 
     async def send(self, request: CallerRequest):
-        """Have a deed answered; tries other VMs only as a caller safely may."""
+        """Send a request, with retries on other VMs where a retry is safe."""
         began_at = trio.current_time()
         self.tally.sent += 1
         nonce = secrets.token_hex(8)
@@ -88,13 +91,14 @@
             try:
                 head = await self._send_request(entry["address"], request, operation)
             except ConnectFailed:
-                # Nothing was sent, so that another VM may remember it instead.
+                # Nothing was sent, so the retry may use the operation prefix of
+                # another VM, which then keeps the record of the operation.
                 operation = ""
                 self.lookup_cache.clear()
                 continue
             except HttpError:
-                # The answer is lost. A read or a named operation may be asked
-                # for again; the operation's id keeps it from running twice.
+                # The answer is lost. Reads and requests with an operation id may be
+                # retried; the operation id prevents them from running twice.
                 self.tally.interrupted += 1
                 self.lookup_cache.clear()
                 continue
--- a/packages/operator/plantainshed/demo/deployment.py
+++ b/packages/operator/plantainshed/demo/deployment.py
@@ -1,4 +1,4 @@
-"""The example deployments, and their move to loopback addresses."""
+"""Loading of example deployments, with addresses replaced by loopback addresses."""
 
 import random
 import socket
@@ -15,7 +15,7 @@
 LOOPBACK = "127.0.0.1"
 EXAMPLES = "examples"
 VMS_PER_DOMAIN = 1
-# Below the range from which outgoing connections get their ports.
+# Below the ephemeral port range, from which outgoing connections get their ports.
 FIRST_PORT = 15_000
 LAST_PORT = 32_000
 _PORTS = iter(random.sample(range(FIRST_PORT, LAST_PORT), LAST_PORT - FIRST_PORT))
@@ -23,16 +23,17 @@
 
 @frozen
 class Deployment:
-    """An example, ready to run on loopback.
+    """An example deployment that can run on loopback.
 
     Parameters
     ----------
     name : str
     document : Document
-        With the targets' addresses on loopback.
+        The example's document, with loopback addresses for the targets.
     platform : str
-        Address for the platform's stand-in.
+        Address on which the platform's stand-in listens.
     vms : tuple of Settings
+        The settings of each entry VM.
     """
 
     name: str
@@ -42,7 +43,13 @@
 
 
 def load_deployment(name: str) -> Deployment:
-    """Read an example by name, or raise `BadUsage`."""
+    """Load an example by name.
+
+    Raises
+    ------
+    BadUsage
+        If there is no such example.
+    """
     folder = _examples_folder()
     path = folder / name / "document.json"
     if not path.is_file():
@@ -62,10 +69,10 @@
 
 
 def free_address() -> str:
-    """Return a loopback address whose port is free, and stays so for a while.
+    """Return a loopback address whose TCP and UDP port is free and not taken soon.
 
-    Ports that the system hands out are no good: between choosing one and
-    binding it, an outgoing connection may have been given it.
+    Ports assigned by the operating system are not suitable: before the caller binds
+    such a port, the system may assign it to an outgoing connection.
     """
     for port in _PORTS:
         if _is_free(port, socket.SOCK_STREAM) and _is_free(port, socket.SOCK_DGRAM):
@@ -86,7 +93,7 @@
     for folder in (Path.cwd(), *Path(__file__).resolve().parents):
         if (folder / EXAMPLES).is_dir():
             return folder / EXAMPLES
-    raise BadUsage("the folder 'examples' is not here; run from the checkout")
+    raise BadUsage("folder 'examples' not found; run from the source checkout")
 
 
 def _settings(document: Document, platform: str):
--- a/packages/operator/plantainshed/demo/fleet.py
+++ b/packages/operator/plantainshed/demo/fleet.py
@@ -1,4 +1,4 @@
-"""Everything that runs in the demo: platform, targets, entry daemons."""
+"""The servers of the demo: platform, targets and entry daemons."""
 
 import contextlib
 
@@ -27,12 +27,14 @@
 
     Attributes
     ----------
+    deployment : Deployment
     platform : MemoryPlatform
     targets : dict of str to TargetServer
+        By target name.
     stops : dict of str to trio.Event
-        Setting one stops that VM gracefully.
+        By VM; setting the event stops the VM gracefully.
     stopped : dict of str to trio.Event
-        Set once a VM has stopped.
+        By VM; the event is set when the VM has stopped.
     """
 
     deployment: Deployment
@@ -42,7 +44,7 @@
     stopped: dict[str, trio.Event] = field(factory=dict)
 
     def running(self) -> dict[str, str]:
-        """Return the callers' address of each VM that was not told to stop."""
+        """Return the address for callers of each VM that has not been stopped."""
         return {
             vm.vm: vm.listen
             for vm in self.deployment.vms
@@ -50,7 +52,10 @@
         }
 
     async def versions(self) -> dict[str, int]:
-        """Return the document version that each running VM says is in force."""
+        """Return the document version that each running VM reports as in force.
+
+        The version of a VM that does not answer is 0.
+        """
         versions = {}
         for vm, address in self.running().items():
             try:
@@ -62,12 +67,12 @@
         return versions
 
     async def wait_in_force(self, version: int):
-        """Wait until every running VM has a version in force."""
+        """Wait until every running VM applies the given or a newer version."""
         while min((await self.versions()).values()) < version:
             await trio.sleep(READY_POLL_S)
 
     async def wait_ready(self):
-        """Wait until every VM takes callers and knows all others."""
+        """Wait until every running VM reports that it is ready."""
         for address in self.running().values():
             while not await _is_ready(address):
                 await trio.sleep(READY_POLL_S)
@@ -75,7 +80,7 @@
 
 @contextlib.asynccontextmanager
 async def open_fleet(deployment: Deployment):
-    """Run a deployment for the length of a block."""
+    """Start a deployment; stop its VMs and servers when the block ends."""
     platform = MemoryPlatform()
     fleet = Fleet(deployment, platform)
     async with trio.open_nursery() as nursery:
--- a/packages/operator/plantainshed/demo/outcomes.py
+++ b/packages/operator/plantainshed/demo/outcomes.py
@@ -1,4 +1,4 @@
-"""What happened to the demo's requests, and whether that is as promised."""
+"""Results of the demo, and the check of the requirements that they must meet."""
 
 import statistics
 from collections import Counter
@@ -16,13 +16,18 @@
 
     Attributes
     ----------
-    sent, answered, lost, cut : int
+    sent, answered : int
+    lost : int
+        Requests without a successful answer after all attempts.
+    interrupted : int
+        Attempts whose answer was lost after the request had been sent.
     refused : collections.Counter
-        By reason; keys that were withdrawn are counted apart.
+        Refused attempts, by reason. The check of the withdrawn key uses a tally of
+        its own.
     latencies : list of float
-        Seconds, of answered requests.
+        Durations of the answered requests in seconds.
     bookings : set of str
-        Operation ids that were answered.
+        Operation ids of the answered bookings.
     """
 
     sent: int = 0
@@ -54,7 +59,21 @@
 
 @define
 class Outcomes:
-    """The figures that the demo ends with."""
+    """The results of the demo.
+
+    Attributes
+    ----------
+    tally : Tally
+    run_twice : int
+        Operations that ran more than once.
+    not_run : int
+        Answered bookings that no target has run.
+    keys_seen_by_targets : int
+        Requests that reached a target with a caller's key.
+    config_in_force_s, key_withdrawn_s, drain_s : float or None
+        Seconds until a change was in force on all VMs, a withdrawn key was no longer
+        accepted, and a drained target received no new requests. None if not measured.
+    """
 
     tally: Tally
     run_twice: int = 0
@@ -65,7 +84,7 @@
     drain_s: float | None = None
 
     def as_fields(self) -> dict:
-        """Return the figures as plain values."""
+        """Return the results as plain values, for output as JSON."""
         tally = self.tally
         return {
             "sent": tally.sent,
@@ -84,7 +103,7 @@
         }
 
     def violations(self) -> list[str]:
-        """Return what was promised and did not hold."""
+        """Return a description of each violated requirement."""
         fields = self.as_fields()
         found = [
             f"{name} is {fields[name]}, not 0"
--- a/packages/operator/plantainshed/demo/story.py
+++ b/packages/operator/plantainshed/demo/story.py
@@ -1,4 +1,4 @@
-"""The demo from start to end."""
+"""The sequence of the demo from start to end."""
 
 import json
 import random
@@ -29,14 +29,17 @@
 
 
 async def run_demo(deployment_name: str, write_line=print) -> Outcomes:
-    """Run a deployment under load, with a drain, a withdrawal and a change.
+    """Run a deployment under load, and operate it meanwhile.
+
+    The operations are the drain of a target, the withdrawal of a key, a change of the
+    configuration and the graceful stop of a VM.
 
     Parameters
     ----------
     deployment_name : str
         Name of a folder under ``examples``.
-    say : callable
-        Where progress goes.
+    write_line : callable
+        Called with each line of progress output.
     """
     deployment = load_deployment(deployment_name)
     outcomes = Outcomes(Tally())
@@ -96,9 +99,9 @@
 
 
 async def _generate_load(caller: Caller, document: Document, load_ended: trio.Event):
-    """Read and book at a steady pace, without waiting for answers.
+    """Send reads and bookings at a constant average rate, without awaiting answers.
 
-    Requests that are under way when the load ends are still answered.
+    Requests that are in flight when the load ends are still completed.
     """
     rng = random.Random(f"{SEED}/{caller.client}")
     reads, *bookings = [pool.prefix for pool in document.pools]
@@ -141,7 +144,7 @@
                 runs = fleet.targets[name].runs.total()
                 last_run_at = trio.current_time()
     seconds = round(last_run_at - ordered_at, 2)
-    write_line(f"drained {name}: its last new request came after {seconds} s")
+    write_line(f"drained {name}: last new request after {seconds} s")
     return seconds
 
 
@@ -170,9 +173,11 @@
                 last_accepted_at = trio.current_time()
         await trio.sleep(POLL_PERIOD_S)
     if not accepted_before or not tally.refused["key_withdrawn"]:
+        # The key was never accepted, or never refused. Returns a time that exceeds
+        # the allowed maximum, so that the check of the outcomes fails.
         return STEP_S * 10
     seconds = round(last_accepted_at - withdrawn_at, 2)
-    write_line(f"withdrew a key: last accepted anywhere after {seconds} s")
+    write_line(f"withdrew a key: last accepted by any VM after {seconds} s")
     return seconds
 
 
@@ -212,7 +217,7 @@
 
 
 def print_outcomes(outcomes: Outcomes, write_line=print):
-    """Print a table for people, and as the last line one JSON object."""
+    """Print the results as a table, and on the last line as one JSON object."""
     fields = outcomes.as_fields()
     width = max(len(name) for name in fields)
     write_line("")
