--- a/tests/model/test_model.py
+++ b/tests/model/test_model.py
@@ -1,4 +1,4 @@
-"""The traffic document: blocks, codec, checks, keys, queries."""
+"""Tests of the traffic document: blocks, codec, checks, keys and queries."""
 
 import ipaddress
 import unittest
@@ -51,7 +51,7 @@
         st.lists(st.integers(0, 2**32 - 1), max_size=20),
     )
     @settings(max_examples=100, derandomize=True, deadline=None)
-    def test_agrees_with_a_plain_search(self, nets, addresses):
+    def test_agrees_with_linear_search(self, nets, addresses):
         networks = {
             ipaddress.ip_network((number, length), strict=False)
             for number, length in nets
@@ -60,19 +60,19 @@
         starts = [int(network.network_address) for network in networks]
         for number in addresses + starts:
             address = ipaddress.ip_address(number)
-            holding = [n for n in networks if address in n]
-            best = max(holding, key=lambda n: n.prefixlen, default=None)
+            containing = [n for n in networks if address in n]
+            best = max(containing, key=lambda n: n.prefixlen, default=None)
             match = table.find(str(address))
             found = match.failure_domain if match else None
             self.assertEqual(found, str(best) if best else None)
 
 
 class TestCodec(unittest.TestCase):
-    def test_segments_give_the_same_document(self):
+    def test_segments_round_trip(self):
         for name in ("cerimonia", "maracas-bay"):
             document = example(name)
-            again = codec.from_segments(codec.to_segments(document))
-            self.assertEqual(differences(document, again), [])
+            decoded = codec.from_segments(codec.to_segments(document))
+            self.assertEqual(differences(document, decoded), [])
 
     def test_one_key_changes_one_segment(self):
         document = example("cerimonia")
@@ -97,30 +97,30 @@
         for name in ("cerimonia", "maracas-bay"):
             self.assertEqual(check(example(name)), [])
 
-    def test_finds_names_that_lead_nowhere(self):
+    def test_finds_unknown_names_and_invalid_addresses(self):
         document = example("cerimonia")
         target = Target("t", "nowhere", "nobody", "localhost")
         faults = check(commands.put_target(document, target))
-        wrong = {fault.field.removeprefix("targets[t].") for fault in faults}
-        self.assertEqual(wrong, {"pool", "failure_domain", "address"})
+        invalid = {fault.field.removeprefix("targets[t].") for fault in faults}
+        self.assertEqual(invalid, {"pool", "failure_domain", "address"})
 
 
 class TestKeyRing(unittest.TestCase):
-    def test_only_the_whole_key_opens(self):
+    def test_finds_only_the_complete_key(self):
         key = issue_key("milano")
         ring = KeyRing(Document(keys=(key.entry,)))
         self.assertEqual(ring.find(key.text).workspace, "milano")
         for wrong in ("", "psk", key.text[:-1], key.text + "0", "psk__", "ä_b_c"):
             self.assertIsNone(ring.find(wrong))
 
-    def test_key_does_not_show_in_what_is_printed(self):
+    def test_repr_does_not_contain_the_key(self):
         key = issue_key("milano")
         self.assertNotIn(key.text, repr(key))
         self.assertNotIn(key.text, repr(Document(keys=(key.entry,))))
 
 
 class TestPoolForPath(unittest.TestCase):
-    def test_prefix_ends_at_a_slash(self):
+    def test_prefix_matches_whole_path_segments(self):
         pools = (Pool("a", "/book", 1, 1), Pool("b", "/book/oath", 1, 1))
         document = evolve(Document(), pools=pools)
         names = {
--- a/tests/operator/test_changes.py
+++ b/tests/operator/test_changes.py
@@ -1,4 +1,4 @@
-"""Operators' changes."""
+"""Tests of operators' changes to the document and to keys."""
 
 import contextlib
 import unittest
@@ -32,37 +32,37 @@
 
 
 class FakeControl:
-    """VMs' control ports; some do not answer."""
+    """Control ports of VMs; those in ``unreachable`` time out."""
 
-    def __init__(self, dead=()):
-        self.dead = dead
-        self.told = []
+    def __init__(self, unreachable=()):
+        self.unreachable = unreachable
+        self.received = []
 
     async def command(self, address, command, arguments, credential):
-        if address in self.dead:
+        if address in self.unreachable:
             raise PeerTimeout(address)
-        self.told.append((address, command, arguments))
+        self.received.append((address, command, arguments))
         return b"{}"
 
 
-def context_with(dead=()) -> OperatorContext:
+def empty_context(unreachable=()) -> OperatorContext:
     platform = MemoryPlatform()
     settings = OperatorSettings("p", controls=("vm-1", "vm-2"), operator="ann")
     return OperatorContext(
-        settings, platform, DocumentStore(platform), FakeControl(dead)
+        settings, platform, DocumentStore(platform), FakeControl(unreachable)
     )
 
 
-async def with_document(dead=()) -> OperatorContext:
-    context = context_with(dead)
+async def context_with_document(unreachable=()) -> OperatorContext:
+    context = empty_context(unreachable)
     await replace(context, await load_current(context), DOCUMENT, "first")
     return context
 
 
 class TestReplace(unittest.TestCase):
     @on_mock_clock
-    async def test_names_every_fault_and_changes_nothing(self):
-        context = context_with()
+    async def test_reports_all_faults_and_changes_nothing(self):
+        context = empty_context()
         bad = Document(workspaces=(Workspace("X Y", -1.0, 0.0),))
         with self.assertRaises(InvalidDocument) as caught:
             await replace(context, await load_current(context), bad, "bad")
@@ -72,8 +72,8 @@
         self.assertEqual((await load_current(context)).revision.version, 0)
 
     @on_mock_clock
-    async def test_conflict_shows_what_the_other_changed(self):
-        context = await with_document()
+    async def test_conflict_contains_the_other_change(self):
+        context = await context_with_document()
         base = await load_current(context)
         await edit(
             context,
@@ -88,8 +88,8 @@
 
 class TestEdit(unittest.TestCase):
     @on_mock_clock
-    async def test_two_operators_at_once_both_count(self):
-        context = await with_document()
+    async def test_concurrent_edits_are_both_applied(self):
+        context = await context_with_document()
 
         async def drain(name):
             await edit(
@@ -107,27 +107,27 @@
 
 class TestWithdraw(unittest.TestCase):
     @on_mock_clock
-    async def test_tells_the_fleet_although_the_store_is_down(self):
-        """A stolen key goes on working for as long as the store is down."""
-        context = await with_document(dead=("vm-1",))
+    async def test_notifies_the_fleet_while_the_store_is_down(self):
+        """A stolen key must not stay valid during an outage of the store."""
+        context = await context_with_document(unreachable=("vm-1",))
         key, _ = await issue(context, "comune", "new")
         await context.platform.set_down(True)
-        done = await withdraw(context, key.entry.key_id, "stolen")
-        self.assertEqual(done.notified_control, "vm-2")
-        self.assertIsNone(done.revision)
-        self.assertIn(key.entry.key_id.encode(), context.control.told[0][2])
+        withdrawal = await withdraw(context, key.entry.key_id, "stolen")
+        self.assertEqual(withdrawal.notified_control, "vm-2")
+        self.assertIsNone(withdrawal.revision)
+        self.assertIn(key.entry.key_id.encode(), context.control.received[0][2])
 
     @on_mock_clock
     async def test_is_recorded_when_no_vm_answers(self):
-        context = await with_document(dead=("vm-1", "vm-2"))
+        context = await context_with_document(unreachable=("vm-1", "vm-2"))
         key, _ = await issue(context, "comune", "new")
-        done = await withdraw(context, key.entry.key_id, "stolen")
-        self.assertEqual(done.notified_control, "")
+        withdrawal = await withdraw(context, key.entry.key_id, "stolen")
+        self.assertEqual(withdrawal.notified_control, "")
         self.assertTrue((await load_current(context)).document.keys[0].withdrawn)
 
     @on_mock_clock
-    async def test_bad_ids_are_named(self):
-        context = await with_document()
+    async def test_invalid_and_unknown_ids_are_rejected(self):
+        context = await context_with_document()
         with self.assertRaises(BadUsage):
             await withdraw(context, "nope", "typing error")
         with contextlib.suppress(UnknownName):
--- a/tests/operator/test_cli.py
+++ b/tests/operator/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line, as a person types it."""
+"""Tests of the command line, with a real platform server."""
 
 import contextlib
 import io
@@ -27,7 +27,7 @@
 
 
 class PlatformThread:
-    """A platform in a thread of its own; commands run their own trio."""
+    """A platform server in a separate thread, as each command calls `trio.run`."""
 
     def __init__(self):
         self.address = ""
@@ -66,14 +66,14 @@
             "[fleet]\ncontrols = 127.0.0.1:1\n[operator]\nname = ann\n"
         )
 
-    def run_command(self, *words):
+    def run_command(self, *arguments):
         output = io.StringIO()
-        command = [*words, f"--settings={self.settings}"]
+        command = [*arguments, f"--settings={self.settings}"]
         with contextlib.redirect_stdout(output):
             fire.Fire(Plantainshed, command=command)
         return output.getvalue()
 
-    def test_apply_show_history_and_back(self):
+    def test_apply_show_history_and_rollback(self):
         self.run_command("document", "apply", DOCUMENT, "--reason=first")
         shown = json.loads(self.run_command("document", "show"))
         self.assertEqual(len(shown["workspaces"]), 8)
@@ -85,7 +85,7 @@
         self.assertEqual([row["version"] for row in rows], [3, 2, 1])
         self.assertEqual(rows[0]["author"], "ann")
 
-    def test_shift_through_its_states(self):
+    def test_shift_states(self):
         self.run_command("document", "apply", DOCUMENT, "--reason=first")
         start = ("shift", "start", "m", "calendario", "veneto", "lombardia", "20")
         self.run_command(*start)
@@ -105,15 +105,15 @@
         listed = self.run_command("key", "list")
         self.assertIn(issued["key_id"], listed)
         self.assertNotIn(issued["key"], listed)
-        said = self.run_command("key", "withdraw", issued["key_id"])
-        self.assertIn("no VM could be told", said)
+        output = self.run_command("key", "withdraw", issued["key_id"])
+        self.assertIn("no VM could be told", output)
         self.assertIn("withdrawn", self.run_command("key", "list"))
 
-    def test_names_made_of_digits_stay_names(self):
-        """A key cannot be withdrawn: "object of type 'int' has no len()".
+    def test_numeric_names_are_parsed_as_text(self):
+        """Arguments that consist of digits must not be converted to integers.
 
-        Its id had happened to consist of digits, and the command line made a
-        number of it.
+        Withdrawing a key whose id happened to consist of digits failed with "object
+        of type 'int' has no len()".
         """
         self.run_command("document", "apply", DOCUMENT, "--reason=2026")
         start = ("shift", "start", "007", "calendario", "veneto", "lombardia", "20")
@@ -123,7 +123,7 @@
         with self.assertRaises(UnknownName):
             self.run_command("key", "withdraw", "012345678901")
 
-    def test_mistakes_are_named(self):
+    def test_invalid_input_raises_the_matching_error(self):
         with self.assertRaises(BadUsage):
             self.run_command("document", "check", str(self.folder / "none.json"))
         bad = self.folder / "bad.json"
@@ -142,7 +142,7 @@
             apply = ("document", "apply", DOCUMENT, "--reason=old", "--base=1")
             self.run_command(*apply)
 
-    def test_report_says_what_is_unknown(self):
+    def test_report_lists_unreachable_sources(self):
         self.run_command("document", "apply", DOCUMENT, "--reason=first")
         facts = json.loads(self.run_command("report", "--format=json"))
         self.assertIn("all VMs", facts["unknown"][0])
@@ -150,7 +150,7 @@
         page = self.run_command("report", "--format=html")
         self.assertIn("Not known", page)
 
-    def test_unreachable_fleet_is_said_so(self):
+    def test_status_fails_if_no_vm_is_reachable(self):
         with self.assertRaises(Unreachable):
             self.run_command("status")
 
@@ -161,14 +161,14 @@
         self.assertEqual(len(codes), len(set(codes)))
         self.assertNotIn(ExitCode.OK, codes)
 
-    def test_says_what_is_wrong_and_exits_with_its_code(self):
-        said = io.StringIO()
-        words = ["plantainshed", "status", "--settings=/nowhere.ini"]
+    def test_prints_the_error_and_sets_the_exit_code(self):
+        stderr = io.StringIO()
+        arguments = ["plantainshed", "status", "--settings=/nowhere.ini"]
         with (
-            mock.patch.object(sys, "argv", words),
-            contextlib.redirect_stderr(said),
-            self.assertRaises(SystemExit) as ended,
+            mock.patch.object(sys, "argv", arguments),
+            contextlib.redirect_stderr(stderr),
+            self.assertRaises(SystemExit) as caught,
         ):
             main()
-        self.assertEqual(ended.exception.code, ExitCode.USAGE)
-        self.assertIn("/nowhere.ini", said.getvalue())
+        self.assertEqual(caught.exception.code, ExitCode.USAGE)
+        self.assertIn("/nowhere.ini", stderr.getvalue())
--- a/tests/operator/test_console.py
+++ b/tests/operator/test_console.py
@@ -1,4 +1,4 @@
-"""The console, on real sockets, against a platform in memory."""
+"""Tests of the web console, on real sockets and with an in-memory platform."""
 
 import contextlib
 import re
@@ -23,7 +23,7 @@
 
 
 class Browser:
-    """What a browser without scripts does."""
+    """A browser without JavaScript, logged in by a cookie."""
 
     def __init__(self, address: str, context):
         self.address = address
@@ -43,11 +43,11 @@
         self.page = body.decode()
         return head.status
 
-    def hidden(self, name):
+    def hidden_field(self, name):
         return re.search(rf'name="{name}" value="([^"]*)"', self.page).group(1)
 
-    async def send(self, path, **form):
-        form.setdefault("form_token", self.hidden("form_token"))
+    async def submit(self, path, **form):
+        form.setdefault("form_token", self.hidden_field("form_token"))
         cookie = [(b"cookie", self.cookie.encode())]
         body = urlencode(form).encode()
         head, body = await fetch(self.address, "POST", path, cookie, body)
@@ -88,9 +88,9 @@
         async with console() as browser:
             await browser.log_in()
             await browser.get("/workspaces?name=comune")
-            status = await browser.send(
+            status = await browser.submit(
                 "/workspaces/save",
-                base_version=browser.hidden("base_version"),
+                base_version=browser.hidden_field("base_version"),
                 name="comune",
                 rate="20",
                 burst="5",
@@ -104,11 +104,11 @@
             self.assertEqual(stored.revision.reason, "more seats")
 
     @on_real_clock
-    async def test_refused_form_keeps_what_was_typed(self):
+    async def test_rejected_form_keeps_the_input(self):
         async with console() as browser:
             await browser.log_in()
             await browser.get("/workspaces?name=comune")
-            status = await browser.send(
+            status = await browser.submit(
                 "/workspaces/save",
                 base_version="1",
                 name="comune",
@@ -122,18 +122,20 @@
             self.assertIn('value="77"', browser.page)
 
     @on_real_clock
-    async def test_second_operator_sees_what_changed_and_loses_no_typing(self):
-        """An operator's change is silently replaced by another's old form.
+    async def test_conflicting_form_shows_the_change_and_keeps_the_input(self):
+        """A form with outdated values must not silently overwrite a newer change.
 
-        Both open the form; one saves; the other, who still sees the old
-        values, saves as well.
+        Two operators open the form. One of them saves it. Then the other one, who
+        still sees the old values, saves it as well.
         """
         async with console() as browser:
             await browser.log_in()
             await browser.get("/workspaces?name=comune")
             form = {"name": "comune", "burst": "5", "offline_limit_s": "900"}
-            await browser.send("/workspaces/save", base_version="1", rate="20", **form)
-            status = await browser.send(
+            await browser.submit(
+                "/workspaces/save", base_version="1", rate="20", **form
+            )
+            status = await browser.submit(
                 "/workspaces/save", base_version="1", rate="30", **form
             )
             self.assertEqual(status, 409)
@@ -143,11 +145,11 @@
             self.assertEqual(stored.document.workspaces[0].rate, 20.0)
 
     @on_real_clock
-    async def test_forms_of_other_sites_do_nothing(self):
+    async def test_form_with_wrong_token_is_rejected(self):
         async with console() as browser:
             await browser.log_in()
             await browser.get("/keys")
-            status = await browser.send(
+            status = await browser.submit(
                 "/keys/issue", form_token="x", workspace="comune"
             )
             self.assertEqual(status, 403)
@@ -158,18 +160,18 @@
         async with console() as browser:
             await browser.log_in()
             await browser.get("/keys")
-            await browser.send("/keys/issue", workspace="comune")
+            await browser.submit("/keys/issue", workspace="comune")
             key = re.search(r"psk_k[0-9a-f_]+", browser.page).group(0)
             await browser.get("/keys")
             self.assertNotIn(key, browser.page)
             self.assertIn(key.split("_")[1], browser.page)
 
     @on_real_clock
-    async def test_what_was_typed_is_escaped(self):
+    async def test_form_input_is_escaped(self):
         async with console() as browser:
             await browser.log_in()
             await browser.get("/workspaces")
-            await browser.send(
+            await browser.submit(
                 "/workspaces/save",
                 base_version="1",
                 name="<script>alert(1)</script>",
@@ -181,7 +183,7 @@
             self.assertIn("&lt;script&gt;", browser.page)
 
     @on_real_clock
-    async def test_fleet_page_says_what_is_unknown(self):
+    async def test_fleet_page_and_report_show_unreachable_sources(self):
         async with console() as browser:
             await browser.log_in()
             self.assertEqual(await browser.get("/"), 200)
