--- a/packages/operator/plantainshed/console/server.py
+++ b/packages/operator/plantainshed/console/server.py
@@ -33,7 +33,7 @@
     """Serve the console until cancelled."""
     if not settings.console_password:
         raise BadUsage(
-            "[console] password_file: not set; the console needs a password for logins"
+            "[console] password_file: the console requires a password for logins"
         )
     host, port = split_address(settings.console_listen)
     listeners = await trio.open_tcp_listeners(port, host=host)
@@ -120,7 +120,7 @@
                 "problem.html",
                 session,
                 active_path=None,
-                problem="Invalid form token. Nothing was changed.",
+                problem="This form is not from your session. Nothing was changed.",
             )
             await exchange.reply(403, PAGE_HEADERS, body)
             return
