--- a/packages/model/plantainshed_model/codec.py
+++ b/packages/model/plantainshed_model/codec.py
@@ -1,9 +1,10 @@
-"""The document as segments of JSON, and back.
+"""Serialization of the document to JSON segments, and deserialization.
 
-Parts that change together share a segment, so that withdrawing a key does not
-send the client blocks again. Keys and blocks are spread over several segments
-by the hash of their names. Blocks are grouped by failure domain, which takes a
-third of the room, and can be read without making an object of each.
+Parts that usually change together share a segment, so that withdrawing a key, for
+example, does not send the client blocks again. Keys and blocks are distributed over
+several segments by the hash of their names. Within a segment, blocks are grouped by
+failure domain: this takes a third of the space of a list of objects, and a reader
+need not create an object for each block.
 """
 
 import json
@@ -33,32 +34,38 @@
 
 
 def to_fields(document: Document) -> dict:
-    """Return the document as plain JSON values."""
+    """Convert the document to plain JSON values."""
     return converter.unstructure(document)
 
 
 def from_fields(fields: dict) -> Document:
-    """Read a document from plain JSON values.
+    """Create a document from plain JSON values.
 
     Raises
     ------
     InvalidDocument
-        With the path of each field that is missing, unknown or of a wrong type.
+        With the path of each field that is missing, unknown or of the wrong type.
     """
     try:
         return converter.structure(fields, Document)
     except (ClassValidationError, IterableValidationError) as error:
-        faults = [_fault(line) for line in transform_error(error)]
+        faults = [_parse_error(line) for line in transform_error(error)]
         raise InvalidDocument(faults) from error
 
 
 def to_text(document: Document) -> str:
-    """Return the document as one JSON text for people to edit."""
+    """Return the document as indented JSON text, for people to edit."""
     return json.dumps(to_fields(document), indent=2) + "\n"
 
 
 def from_text(text: str) -> Document:
-    """Read a document from its JSON text, or raise `InvalidDocument`."""
+    """Parse a document from JSON text.
+
+    Raises
+    ------
+    InvalidDocument
+        If the text is not JSON, or not a document.
+    """
     try:
         fields = json.loads(text)
     except ValueError as error:
@@ -73,22 +80,24 @@
     fields = to_fields(document)
     segments = {}
     for segment, names in SEGMENT_FIELDS.items():
-        segments[segment] = _dump({name: fields[name] for name in names})
-    for index, keys in _shards(fields["keys"], "key_id", KEY_SHARDS):
-        segments[f"keys-{index:02d}"] = _dump({"keys": keys})
-    for index, blocks in _shards(fields["blocks"], "cidr", BLOCK_SHARDS):
+        segments[segment] = _canonical_json({name: fields[name] for name in names})
+    for index, keys in _group_by_shard(fields["keys"], "key_id", KEY_SHARDS):
+        segments[f"keys-{index:02d}"] = _canonical_json({"keys": keys})
+    for index, blocks in _group_by_shard(fields["blocks"], "cidr", BLOCK_SHARDS):
         grouped = {}
         for block in blocks:
             grouped.setdefault(block["failure_domain"], []).append(block["cidr"])
-        segments[f"{BLOCKS_PREFIX}{index:02d}"] = _dump({BLOCKS_BY_DOMAIN: grouped})
+        segments[f"{BLOCKS_PREFIX}{index:02d}"] = _canonical_json(
+            {BLOCKS_BY_DOMAIN: grouped}
+        )
     return segments
 
 
 def from_segments(segments: dict[str, bytes], with_blocks: bool = True) -> Document:
-    """Put a document together from its segments.
+    """Assemble a document from its segments.
 
-    Without its blocks it is what an entry daemon keeps: `read_blocks` gives
-    them one at a time to a compact table instead.
+    An entry daemon keeps the document without its blocks (``with_blocks=False``).
+    It reads them one at a time with `read_blocks` into a compact `BlockTable`.
     """
     fields = {}
     for segment in sorted(segments):
@@ -103,7 +112,7 @@
 
 
 def read_blocks(segments: dict[str, bytes]) -> Iterator[ClientBlock]:
-    """Yield the client blocks of a document's segments."""
+    """Yield the client blocks that a document's segments contain."""
     for segment in sorted(segments):
         if segment.startswith(BLOCKS_PREFIX):
             grouped = json.loads(segments[segment])[BLOCKS_BY_DOMAIN]
@@ -112,21 +121,21 @@
                     yield ClientBlock(cidr, failure_domain)
 
 
-def _shards(items: list[dict], name_field: str, count: int):
+def _group_by_shard(items: list[dict], name_field: str, count: int):
     shards = [[] for _ in range(count)]
     for item in items:
-        shards[_shard(item[name_field], count)].append(item)
+        shards[_shard_index(item[name_field], count)].append(item)
     return [(index, items) for index, items in enumerate(shards) if items]
 
 
-def _dump(fields: dict) -> bytes:
+def _canonical_json(fields: dict) -> bytes:
     return json.dumps(fields, sort_keys=True, separators=(",", ":")).encode()
 
 
-def _shard(name: str, count: int) -> int:
+def _shard_index(name: str, count: int) -> int:
     return xxhash.xxh64_intdigest(name.encode()) % count
 
 
-def _fault(line: str) -> Fault:
+def _parse_error(line: str) -> Fault:
     message, _, path = line.rpartition(" @ ")
     return Fault(path.removeprefix("$.") or "document", message)
--- a/packages/operator/plantainshed/cli/fleet_commands.py
+++ b/packages/operator/plantainshed/cli/fleet_commands.py
@@ -8,7 +8,7 @@
 
 from ..changes import edit, issue, withdraw
 from ..errors import BadUsage
-from ..views import current, fleet_status
+from ..views import fleet_status, load_current
 from .output import print_json, print_revision, print_rows
 from .session import Session
 
@@ -21,7 +21,7 @@
 
     @SetParseFn(str, "workspace", "reason")
     def issue(self, workspace: str, reason: str = "key issued"):
-        """Issue a key for a workspace; it is shown this once."""
+        """Issue a key for a workspace; the key is shown only once."""
         key, revision = self._session.run(issue, workspace, reason)
         if self._session.json:
             print_json(
@@ -32,30 +32,36 @@
                 }
             )
         else:
-            print(f"{key.text}\nKeep it now: it cannot be shown again.")
+            print(f"{key.text}\nSave it now: it cannot be shown again.")
 
     @SetParseFn(str, "key_id", "reason")
     def withdraw(self, key_id: str, reason: str = "key withdrawn"):
-        """Withdraw a key: on the running fleet at once, then in the document."""
-        done = self._session.run(withdraw, key_id, reason)
-        version = done.revision.version if done.revision else None
+        """Withdraw a key on the running fleet, then record it in the document."""
+        withdrawal = self._session.run(withdraw, key_id, reason)
+        version = withdrawal.revision.version if withdrawal.revision else None
         if self._session.json:
-            print_json({"key_id": key_id, "told": done.told, "version": version})
+            print_json(
+                {
+                    "key_id": key_id,
+                    "told": withdrawal.notified_control,
+                    "version": version,
+                }
+            )
             return
-        if done.told:
-            print(f"{key_id}: withdrawn; spreading from {done.told}")
+        if withdrawal.notified_control:
+            print(f"{key_id}: withdrawn; spreading from {withdrawal.notified_control}")
         else:
             print(f"{key_id}: no VM could be told; they learn it from the document")
         if version:
             print(f"recorded in version {version}")
         else:
-            print("NOT recorded: the store cannot be reached; repeat when it can")
+            print("NOT recorded: the store cannot be reached; repeat the command later")
         print("'plantainshed status' shows which VMs have confirmed it")
 
     @SetParseFn(str, "workspace")
     def list(self, workspace: str = ""):
         """List keys by their public ids."""
-        keys = self._session.run(current).document.keys
+        keys = self._session.run(load_current).document.keys
         rows = [
             {
                 "key_id": key.key_id,
@@ -69,28 +75,30 @@
 
 
 class DrainCommands:
-    """Empty a target, a VM or a failure domain without cutting a request."""
+    """Drain a target, a VM or a failure domain without interrupting requests."""
 
     def __init__(self, session: Session):
         self._session = session
 
     @SetParseFn(str, "kind", "name", "reason")
     def start(self, kind: str, name: str, reason: str = "drain"):
-        """Begin a drain; KIND is target, vm or failure_domain."""
+        """Start a drain; KIND is target, vm or failure_domain."""
         self._edit(
-            lambda document: commands.start_drain(document, _kind(kind), name), reason
+            lambda document: commands.start_drain(document, _parse_kind(kind), name),
+            reason,
         )
 
     @SetParseFn(str, "kind", "name", "reason")
     def end(self, kind: str, name: str, reason: str = "drain ended"):
-        """Take a drain back."""
+        """End a drain."""
         self._edit(
-            lambda document: commands.end_drain(document, _kind(kind), name), reason
+            lambda document: commands.end_drain(document, _parse_kind(kind), name),
+            reason,
         )
 
     def list(self):
-        """List what is being drained."""
-        drains = self._session.run(current).document.drains
+        """List the drains."""
+        drains = self._session.run(load_current).document.drains
         rows = [{"kind": str(drain.kind), "name": drain.name} for drain in drains]
         print_rows(rows, self._session.json)
 
@@ -99,7 +107,7 @@
 
 
 class ShiftCommands:
-    """Move a pool's traffic between two regions, under a cap."""
+    """Move a pool's traffic between two regions, with a rate limit."""
 
     def __init__(self, session: Session):
         self._session = session
@@ -114,28 +122,28 @@
         cap: float,
         reason: str = "shift",
     ):
-        """Start a shift; CAP is the requests a second that may be moved."""
+        """Start a shift; CAP limits the moved traffic, in requests per second."""
         shift = Shift(name, pool, from_region, to_region, float(cap))
         self._edit(lambda document: commands.put_shift(document, shift), reason)
 
     @SetParseFn(str, "name", "reason")
     def stop(self, name: str, reason: str = "shift stopped"):
-        """Stop moving more; the cap stays in force."""
-        self._set(name, ShiftState.STOPPED, reason)
+        """Stop moving traffic; the cap still limits overflow between the regions."""
+        self._set_state(name, ShiftState.STOPPED, reason)
 
     @SetParseFn(str, "name", "reason")
     def resume(self, name: str, reason: str = "shift resumed"):
-        """Go on with a shift."""
-        self._set(name, ShiftState.RUNNING, reason)
+        """Resume a stopped or reversed shift."""
+        self._set_state(name, ShiftState.RUNNING, reason)
 
     @SetParseFn(str, "name", "reason")
     def reverse(self, name: str, reason: str = "shift reversed"):
-        """Move in the other direction, under the same cap."""
-        self._set(name, ShiftState.REVERSED, reason)
+        """Move the traffic in the other direction, with the same cap."""
+        self._set_state(name, ShiftState.REVERSED, reason)
 
     @SetParseFn(str, "name", "reason")
     def remove(self, name: str, reason: str = "shift removed"):
-        """Take a shift off the list, and its cap with it."""
+        """Remove a shift together with its cap."""
         self._edit(lambda document: commands.remove_shift(document, name), reason)
 
     def list(self):
@@ -149,11 +157,11 @@
                 "cap": shift.cap,
                 "state": str(shift.state),
             }
-            for shift in self._session.run(current).document.shifts
+            for shift in self._session.run(load_current).document.shifts
         ]
         print_rows(rows, self._session.json)
 
-    def _set(self, name: str, state: ShiftState, reason: str):
+    def _set_state(self, name: str, state: ShiftState, reason: str):
         self._edit(
             lambda document: commands.set_shift_state(document, name, state), reason
         )
@@ -163,7 +171,7 @@
 
 
 def print_status(session: Session):
-    """Print what the first VM that answers knows of the fleet."""
+    """Print the status of the fleet, as known to the first VM that answers."""
     status = session.run(fleet_status)
     if session.json:
         print_json(status)
@@ -185,7 +193,7 @@
     print_rows(rows, as_json=False)
 
 
-def _kind(text: str) -> DrainKind:
+def _parse_kind(text: str) -> DrainKind:
     try:
         return DrainKind(text)
     except ValueError:
--- a/packages/operator/plantainshed/console/pages.py
+++ b/packages/operator/plantainshed/console/pages.py
@@ -1,4 +1,4 @@
-"""What the console shows."""
+"""Rendering of the console's pages."""
 
 from pathlib import Path
 
@@ -8,9 +8,9 @@
 
 from ..context import OperatorContext
 from ..errors import OperatorError
-from ..views import current, fleet_status, history
-from .actions import item_named
-from .forms import KINDS, form_fields, values_of
+from ..views import fleet_status, history, load_current
+from .actions import require_item
+from .forms import KINDS, form_fields, form_values
 
 HISTORY_ROWS = 50
 TEMPLATES = Path(__file__).parent / "templates"
@@ -34,13 +34,13 @@
 
 
 def render(template: str, session, **values) -> bytes:
-    """Render a page; everything in it is escaped."""
+    """Render a template; all values are HTML-escaped."""
     page = environment.get_template(template)
     return page.render(session=session, **values).encode()
 
 
 async def overview(context: OperatorContext, session, **extra) -> bytes:
-    """Show every VM, and what is in force there."""
+    """Render the state of all VMs and the document version that each one applies."""
     status, problem = None, ""
     try:
         status = await fleet_status(context)
@@ -48,13 +48,13 @@
         problem = str(error)
     stored = None
     try:
-        stored = await current(context)
+        stored = await load_current(context)
     except OperatorError as error:
         problem = f"{problem} {error}".strip()
     return render(
         "overview.html",
         session,
-        here="",
+        active_path="",
         status=status,
         stored=stored,
         problem=problem,
@@ -65,24 +65,25 @@
 async def items(
     context: OperatorContext, session, kind: str, name: str = "", typed=None, **extra
 ) -> bytes:
-    """Show a kind of item with the form to add or change one.
+    """Render the items of one kind, and a form to add or change one.
 
     Parameters
     ----------
     name : str
         Item to change; empty to add one.
     typed : dict of str to str, optional
-        What was typed before, so that a refused form loses none of it.
+        The input of a rejected form, shown again so that the operator need not
+        retype it.
     """
-    stored = await current(context)
+    stored = await load_current(context)
     values = dict(typed or {})
     if name and not typed:
-        values = values_of(item_named(stored.document, kind, name))
-    rows = [values_of(item) for item in getattr(stored.document, kind)]
+        values = form_values(require_item(stored.document, kind, name))
+    rows = [form_values(item) for item in getattr(stored.document, kind)]
     return render(
         "items.html",
         session,
-        here=kind,
+        active_path=kind,
         kind=kind,
         rows=rows,
         columns=list(rows[0]) if rows else [],
@@ -94,12 +95,12 @@
 
 
 async def keys(context: OperatorContext, session, **extra) -> bytes:
-    """Show keys by their public ids."""
-    stored = await current(context)
+    """Render the list of keys, by their public ids."""
+    stored = await load_current(context)
     return render(
         "keys.html",
         session,
-        here="keys",
+        active_path="keys",
         keys=stored.document.keys,
         workspaces=[workspace.name for workspace in stored.document.workspaces],
         **extra,
@@ -107,16 +108,18 @@
 
 
 async def changes(context: OperatorContext, session, **extra) -> bytes:
-    """Show who changed what, when and why."""
+    """Render the history of revisions, with author, time and reason."""
     revisions = await history(context, HISTORY_ROWS)
-    return render("history.html", session, here="history", revisions=revisions, **extra)
+    return render(
+        "history.html", session, active_path="history", revisions=revisions, **extra
+    )
 
 
 def login(problem: str = "") -> bytes:
-    """Show the form to log in."""
-    return render("login.html", None, here=None, problem=problem)
+    """Render the login form."""
+    return render("login.html", None, active_path=None, problem=problem)
 
 
 def is_item_page(name: str) -> bool:
-    """Tell whether a page lists items of the document."""
+    """Return whether the page of this name lists items of the document."""
     return name in KINDS
--- a/packages/operator/plantainshed/demo/outcomes.py
+++ b/packages/operator/plantainshed/demo/outcomes.py
@@ -1,4 +1,4 @@
-"""What happened to the demo's requests, and whether that is as promised."""
+"""Results of the demo, and the check of the requirements that they must meet."""
 
 import statistics
 from collections import Counter
@@ -16,31 +16,36 @@
 
     Attributes
     ----------
-    sent, answered, lost, cut : int
+    sent, answered : int
+    lost : int
+        Requests without a successful answer after all attempts.
+    interrupted : int
+        Attempts whose answer was lost after the request had been sent.
     refused : collections.Counter
-        By reason; keys that were withdrawn are counted apart.
+        Refused attempts, by reason. The check of the withdrawn key uses a tally of
+        its own.
     latencies : list of float
-        Seconds, of answered requests.
+        Durations of the answered requests in seconds.
     bookings : set of str
-        Operation ids that were answered.
+        Operation ids of the answered bookings.
     """
 
     sent: int = 0
     answered: int = 0
     lost: int = 0
-    cut: int = 0
+    interrupted: int = 0
     refused: Counter = field(factory=Counter)
     latencies: list[float] = field(factory=list)
     bookings: set[str] = field(factory=set)
 
-    def note_answer(self, deed, operation: str, seconds: float):
+    def record_answer(self, request, operation: str, seconds: float):
         """Count an answered request."""
         self.answered += 1
         self.latencies.append(seconds)
-        if deed.is_booking:
+        if request.is_booking:
             self.bookings.add(operation)
 
-    def note_refusal(self, reason: str):
+    def record_refusal(self, reason: str):
         """Count a refusal."""
         self.refused[reason] += 1
 
@@ -54,27 +59,41 @@
 
 @define
 class Outcomes:
-    """The figures that the demo ends with."""
+    """The results of the demo.
+
+    Attributes
+    ----------
+    tally : Tally
+    run_twice : int
+        Operations that ran more than once.
+    not_run : int
+        Answered bookings that no target has run.
+    keys_seen_by_targets : int
+        Requests that reached a target with a caller's key.
+    config_in_force_s, key_withdrawn_s, drain_s : float or None
+        Seconds until a change was in force on all VMs, a withdrawn key was no longer
+        accepted, and a drained target received no new requests. None if not measured.
+    """
 
     tally: Tally
-    doubled: int = 0
-    missing: int = 0
+    run_twice: int = 0
+    not_run: int = 0
     keys_seen_by_targets: int = 0
     config_in_force_s: float | None = None
     key_withdrawn_s: float | None = None
     drain_s: float | None = None
 
     def as_fields(self) -> dict:
-        """Return the figures as plain values."""
+        """Return the results as plain values, for output as JSON."""
         tally = self.tally
         return {
             "sent": tally.sent,
             "answered": tally.answered,
             "refused": dict(tally.refused),
             "wrongful_refusals": sum(tally.refused.values()),
-            "lost": tally.lost + self.missing,
-            "doubled": self.doubled,
-            "cut": tally.cut,
+            "lost": tally.lost + self.not_run,
+            "doubled": self.run_twice,
+            "cut": tally.interrupted,
             "p50_ms": tally.percentile_ms(50),
             "p99_ms": tally.percentile_ms(99),
             "config_in_force_s": self.config_in_force_s,
@@ -84,7 +103,7 @@
         }
 
     def violations(self) -> list[str]:
-        """Return what was promised and did not hold."""
+        """Return a description of each violated requirement."""
         fields = self.as_fields()
         found = [
             f"{name} is {fields[name]}, not 0"
