--- a/packages/measure/plantainshed_measure/limits_checks.py
+++ b/packages/measure/plantainshed_measure/limits_checks.py
@@ -1,4 +1,4 @@
-"""What was let through, and whether it kept workspaces' quotas."""
+"""Records the requests of a simulation and checks them against the quotas."""
 
 from bisect import bisect_left, bisect_right
 from collections import Counter
@@ -9,14 +9,14 @@
 from plantainshed_gateway.model import Workspace
 from plantainshed_gateway.settings import Bounds
 
-# Time in which a change of a quota is in force on all VMs.
+# Time within which a changed quota is in force on all VMs.
 CHANGE_IN_FORCE_S = 2.0
-# Requests that wait longer than this have asked another region.
-NEAR_ROUND_TRIP_S = 0.005
+# Longest wait of a request that is decided without another region.
+MAX_LOCAL_WAIT_S = 0.005
 
 
 class Period(StrEnum):
-    """What the fleet goes through when a request is sent."""
+    """The state of the fleet at the time when a request is sent."""
 
     CALM = "calm"
     FAULT = "fault"
@@ -24,18 +24,18 @@
 
 
 @frozen
-class Asked:
-    """One request and what became of it.
+class RequestOutcome:
+    """One request and its outcome.
 
     Parameters
     ----------
     sent_at, done_at : float
-        When the caller sent it, and when it was let through or refused.
+        When the caller sent the request, and when it was admitted or refused.
     waited_s : float
-        What the VM took to decide.
+        How long the VM took to decide.
     is_admitted : bool
     has_run : bool
-        Whether a target took it.
+        Whether a target accepted it.
     """
 
     sent_at: float
@@ -46,8 +46,8 @@
 
 
 @define
-class Quota:
-    """A quota and when it was in force somewhere."""
+class QuotaInterval:
+    """A quota and the time during which it was in force on any VM."""
 
     workspace: Workspace
     since: float
@@ -56,49 +56,55 @@
 
 @frozen
 class Window:
-    """A window of a workspace and what was let through in it.
+    """A time window of a workspace and the number of requests admitted in it.
 
     Parameters
     ----------
     workspace : str
     ends_at : float
-        Seconds from the start of the play.
+        Seconds from the start of the simulation.
     count : int
+        Requests that were admitted and that a target accepted.
     bound : float
-        Most requests that the rule allows.
-    used : float
-        Part of the tolerance.
+        Largest count that the quota and its tolerance allow.
+    tolerance_used : float
+        Share of the tolerance that is used: above 1 if the count exceeds the bound,
+        negative if it is below the quota.
     """
 
     workspace: str
     ends_at: float
     count: int
     bound: float
-    used: float
+    tolerance_used: float
 
     @property
-    def is_over(self) -> bool:
-        """Whether the rule is broken."""
+    def exceeds_bound(self) -> bool:
+        """Whether more requests were admitted than the bound allows."""
         return self.count > self.bound + 1e-6
 
 
 @define
-class Record:
-    """All requests of a play, and the quotas that were in force."""
+class RequestHistory:
+    """All requests of a simulation, and the quotas that were in force."""
 
-    asked: dict[str, list[Asked]] = field(factory=dict)
-    quotas: dict[str, list[Quota]] = field(factory=dict)
+    requests: dict[str, list[RequestOutcome]] = field(factory=dict)
+    quotas: dict[str, list[QuotaInterval]] = field(factory=dict)
 
-    def note_quota(self, workspace: Workspace, now: float):
-        """Take in a workspace's quota from now on."""
+    def record_quota(self, workspace: Workspace, now: float):
+        """Record that a workspace's quota is in force from now on."""
         quotas = self.quotas.setdefault(workspace.name, [])
-        self.asked.setdefault(workspace.name, [])
+        self.requests.setdefault(workspace.name, [])
         if quotas:
             quotas[-1].until = now
-        quotas.append(Quota(workspace, now))
+        quotas.append(QuotaInterval(workspace, now))
 
-    def note_late(self, workspace: Workspace, now: float):
-        """Take in that a VM cut off from the store used the quota before till now."""
+    def record_late_change(self, workspace: Workspace, now: float):
+        """Record that a VM has applied a quota only now.
+
+        A VM that is cut off from the store keeps using the previous quota, which
+        therefore counts as in force until now.
+        """
         for before, after in zip(
             self.quotas[workspace.name], self.quotas[workspace.name][1:], strict=False
         ):
@@ -106,24 +112,24 @@
                 before.until = max(before.until, now - CHANGE_IN_FORCE_S)
 
 
-def fullest_window(record: Record, bounds: Bounds, name: str) -> Window | None:
-    """Return a workspace's window that used most of its tolerance."""
+def fullest_window(record: RequestHistory, bounds: Bounds, name: str) -> Window | None:
+    """Return the window of a workspace that used most of its tolerance."""
     admitted = sorted(
-        one.done_at for one in record.asked[name] if one.is_admitted and one.has_run
+        one.done_at for one in record.requests[name] if one.is_admitted and one.has_run
     )
     fullest = None
     first = 0
     for index, at in enumerate(admitted):
         while admitted[first] <= at - bounds.quota_window_s:
             first += 1
-        window = _window(record, bounds, name, at, index - first + 1)
-        if fullest is None or window.used > fullest.used:
+        window = _make_window(record, bounds, name, at, index - first + 1)
+        if fullest is None or window.tolerance_used > fullest.tolerance_used:
             fullest = window
     return fullest
 
 
-def _window(
-    record: Record, bounds: Bounds, name: str, ends_at: float, count: int
+def _make_window(
+    record: RequestHistory, bounds: Bounds, name: str, ends_at: float, count: int
 ) -> Window:
     window_s = bounds.quota_window_s
     since = ends_at - window_s - CHANGE_IN_FORCE_S
@@ -133,16 +139,17 @@
         if quota.since <= ends_at and quota.until >= since
     )
     tolerance = in_window * bounds.quota_over + bounds.quota_slack
-    used = (count - in_window) / tolerance
-    return Window(name, ends_at, count, in_window + tolerance, used)
+    tolerance_used = (count - in_window) / tolerance
+    return Window(name, ends_at, count, in_window + tolerance, tolerance_used)
 
 
-def wrongful(
-    record: Record, bounds: Bounds, name: str, period_at
+def count_wrongful_refusals(
+    record: RequestHistory, bounds: Bounds, name: str, period_at
 ) -> tuple[Counter, Counter]:
-    """Count requests of a workspace within its rate, and those turned away.
+    """Count the requests sent within a workspace's rate, and the wrongful refusals.
 
-    One counts as turned away if it is refused or waits for another region.
+    A request within the rate counts as refused if it is refused or if it waits for
+    an answer from another region.
 
     Parameters
     ----------
@@ -151,23 +158,23 @@
 
     Returns
     -------
-    owed, refused : Counter
+    within_rate, refused : Counter
         By `Period`.
     """
-    owed, refused = Counter(), Counter()
-    sent = sorted(one.sent_at for one in record.asked[name])
-    for one in record.asked[name]:
+    within_rate, refused = Counter(), Counter()
+    sent = sorted(one.sent_at for one in record.requests[name])
+    for one in record.requests[name]:
         if not _is_within_rate(record, bounds, name, sent, one.sent_at):
             continue
         period = period_at(one.sent_at)
-        owed[period] += 1
-        if not one.is_admitted or one.waited_s > NEAR_ROUND_TRIP_S:
+        within_rate[period] += 1
+        if not one.is_admitted or one.waited_s > MAX_LOCAL_WAIT_S:
             refused[period] += 1
-    return owed, refused
+    return within_rate, refused
 
 
 def _is_within_rate(
-    record: Record, bounds: Bounds, name: str, sent: list[float], at: float
+    record: RequestHistory, bounds: Bounds, name: str, sent: list[float], at: float
 ) -> bool:
     window_s = bounds.quota_window_s
     count = bisect_right(sent, at) - bisect_left(sent, at - window_s)
--- a/packages/measure/plantainshed_measure/limits_demand.py
+++ b/packages/measure/plantainshed_measure/limits_demand.py
@@ -1,4 +1,4 @@
-"""What callers send in a play of limits: how much, and to which VMs."""
+"""The load that callers send in a limits simulation: rates and receiving VMs."""
 
 import random
 
@@ -7,117 +7,128 @@
 
 from plantainshed_gateway.model import Workspace
 
-from .limits_model import ModelFleet, Place
+from .limits_model import ModelFleet, VmLocation
 
 STEP_S = 0.01
-# Part of workspaces whose callers move between VMs.
-MOVING_PART = 0.6
-HOT = "hot"
+# Share of workspaces whose callers change their preferred VMs in each phase.
+MOVING_SHARE = 0.6
+HOT_WORKSPACE = "hot"
 HOT_RATES = (4.0, 10.0, 26.0, 60.0)
-QUIET = (Workspace("quiet", None, 8.0, 8.0), Workspace("small", None, 2.0, 4.0))
-# Of a workspace's rate; the last at which requests count as within it is 1.
+QUIET_WORKSPACES = (
+    Workspace("quiet", None, 8.0, 8.0),
+    Workspace("small", None, 2.0, 4.0),
+)
+# Load as a multiple of a workspace's rate; up to 1, requests are within the rate.
 BASE_LOADS = (0.2, 0.9)
 HOT_LOADS = (1.5, 12.0)
-PATTERN_S = (1.0, 6.0)
-# How often requests come to all VMs, a region's, a failure domain's, or one.
+PHASE_S = (1.0, 6.0)
+# Weights for sending to all VMs, to those of a region, to those of a failure domain,
+# or to a single VM.
 PATTERN_WEIGHTS = (4, 2, 1, 1)
-# Share of requests that come to VMs which a pattern doesn't name.
-ELSEWHERE = (0.0, 0.3)
+# Range of the share of requests that are sent to any VM, preferred or not.
+OTHER_VM_SHARES = (0.0, 0.3)
 
 
 @frozen
-class Stretch:
-    """What callers of a workspace send from a time on.
+class LoadPhase:
+    """The load of a workspace from a point in time until the next phase.
 
     Parameters
     ----------
     starts_at : float
     rate : float
-        Requests a second in all.
-    chosen : tuple of str
-        VMs that most go to.
-    elsewhere : float
-        Share of requests that go to any VM.
+        Total requests per second.
+    preferred_vms : tuple of str
+        VMs that receive most of the requests.
+    other_vm_share : float
+        Share of requests that are sent to any VM.
     """
 
     starts_at: float
     rate: float
-    chosen: tuple[str, ...]
-    elsewhere: float
+    preferred_vms: tuple[str, ...]
+    other_vm_share: float
 
 
 def draw_workspaces(rng: random.Random) -> list[Workspace]:
-    """Return the workspaces of a play; the first is to go over its rate."""
+    """Draw the workspaces of a simulation; the first one is to exceed its rate."""
     rate = rng.choice(HOT_RATES)
-    hot = Workspace(HOT, None, rate, round(rate * rng.uniform(0.5, 2.0)))
-    return [hot, *QUIET]
+    hot = Workspace(HOT_WORKSPACE, None, rate, round(rate * rng.uniform(0.5, 2.0)))
+    return [hot, *QUIET_WORKSPACES]
 
 
-def draw_stretches(
+def draw_load_phases(
     rng: random.Random,
     workspace: Workspace,
-    places: list[Place],
+    locations: list[VmLocation],
     seconds: float,
     hot_from: float,
-) -> list[Stretch]:
-    """Return what a workspace's callers send, hot from a time on if it is to be."""
-    stretches = []
+) -> list[LoadPhase]:
+    """Draw the load of a workspace.
+
+    The hot workspace exceeds its rate for a while from `hot_from` on.
+    """
+    phases = []
     at = 0.0
-    is_moving = rng.random() < MOVING_PART
+    is_moving = rng.random() < MOVING_SHARE
     hot_until = hot_from + rng.uniform(3.0, 15.0)
-    chosen = _chosen(rng, places)
+    preferred_vms = _draw_vms(rng, locations)
     while at < seconds:
-        is_hot = workspace.name == HOT and hot_from <= at < hot_until
+        is_hot = workspace.name == HOT_WORKSPACE and hot_from <= at < hot_until
         load = rng.uniform(*(HOT_LOADS if is_hot else BASE_LOADS))
         if is_moving:
-            chosen = _chosen(rng, places)
+            preferred_vms = _draw_vms(rng, locations)
         rate = workspace.rate_per_s * load
-        stretches.append(Stretch(at, rate, chosen, rng.uniform(*ELSEWHERE)))
-        ends_at = at + rng.uniform(*PATTERN_S)
-        if workspace.name == HOT and at < hot_from:
+        phases.append(LoadPhase(at, rate, preferred_vms, rng.uniform(*OTHER_VM_SHARES)))
+        ends_at = at + rng.uniform(*PHASE_S)
+        if workspace.name == HOT_WORKSPACE and at < hot_from:
             ends_at = min(ends_at, hot_from)
         at = ends_at
-    return stretches
+    return phases
 
 
-def _chosen(rng: random.Random, places: list[Place]) -> tuple[str, ...]:
-    """Return all VMs, those of a region or of a failure domain, or one."""
-    one = rng.choice(places)
+def _draw_vms(rng: random.Random, locations: list[VmLocation]) -> tuple[str, ...]:
+    """Draw all VMs, those of a region, those of a failure domain, or a single one."""
+    one = rng.choice(locations)
     patterns = (
-        places,
-        [place for place in places if place.region == one.region],
-        [place for place in places if place.failure_domain == one.failure_domain],
+        locations,
+        [location for location in locations if location.region == one.region],
+        [
+            location
+            for location in locations
+            if location.failure_domain == one.failure_domain
+        ],
         [one],
     )
-    chosen = rng.choices(patterns, PATTERN_WEIGHTS)[0]
-    return tuple(place.vm for place in chosen)
+    preferred_vms = rng.choices(patterns, PATTERN_WEIGHTS)[0]
+    return tuple(location.vm for location in preferred_vms)
 
 
-async def send(
-    fleet: ModelFleet, name: str, stretches: list[Stretch], rng: random.Random
+async def send_requests(
+    fleet: ModelFleet, name: str, phases: list[LoadPhase], rng: random.Random
 ):
-    """Send a workspace's requests until the last stretch's fleet is stopped."""
+    """Send a workspace's requests phase by phase until cancelled."""
     began_at = trio.current_time()
-    upcoming = list(stretches)
-    now_in = upcoming.pop(0)
+    upcoming = list(phases)
+    phase = upcoming.pop(0)
     next_at = 0.0
     while True:
         at = trio.current_time() - began_at
         while upcoming and upcoming[0].starts_at <= at:
-            now_in = upcoming.pop(0)
+            phase = upcoming.pop(0)
             next_at = at
         while next_at <= at:
-            next_at += rng.expovariate(now_in.rate)
-            _send_one(fleet, name, now_in, rng)
+            next_at += rng.expovariate(phase.rate)
+            _send_one(fleet, name, phase, rng)
         await trio.sleep(STEP_S)
 
 
-def _send_one(fleet: ModelFleet, name: str, stretch: Stretch, rng: random.Random):
-    serving = fleet.serving()
+def _send_one(fleet: ModelFleet, name: str, phase: LoadPhase, rng: random.Random):
+    serving = fleet.serving_vms()
     if not serving:
         return
-    chosen = [vm for vm in stretch.chosen if vm in serving]
-    if not chosen or rng.random() < stretch.elsewhere:
-        chosen = sorted(serving)
-    vm = serving[rng.choice(chosen)]
+    preferred_vms = [vm for vm in phase.preferred_vms if vm in serving]
+    if not preferred_vms or rng.random() < phase.other_vm_share:
+        preferred_vms = sorted(serving)
+    vm = serving[rng.choice(preferred_vms)]
     vm.nursery.start_soon(vm.serve, name, trio.current_time())
--- a/packages/measure/plantainshed_measure/limits_faults.py
+++ b/packages/measure/plantainshed_measure/limits_faults.py
@@ -1,4 +1,4 @@
-"""Faults of a play of limits, drawn from its seed."""
+"""Faults that a limits simulation injects, drawn from its seed."""
 
 import contextlib
 import random
@@ -9,28 +9,29 @@
 from attrs import evolve, frozen
 
 from .limits_checks import Period
-from .limits_demand import HOT
-from .limits_model import ModelFleet, Place
+from .limits_demand import HOT_WORKSPACE
+from .limits_model import ModelFleet, VmLocation
 
-# Time after a fault in which VMs hear of each other again and shares move.
+# Time after a fault in which VMs receive each other's heartbeats again and the
+# shares of the quota are redistributed.
 HEALING_S = 8.0
-# Time that a fleet has before the first fault.
-WARM_S = 0.3
-# When a cut begins that VMs which have just started do not see coming.
-EARLY_S = (0.1, 2.0)
+# Earliest start of a fault, except for an early network cut.
+WARMUP_S = 0.3
+# Start of an early network cut, which hits VMs that have only just started.
+EARLY_START_S = (0.1, 2.0)
 LENGTHS_S = (1.0, 14.0)
-SHORT_S = (0.3, 5.0)
+SHORT_LENGTHS_S = (0.3, 5.0)
 QUOTA_FACTORS = (0.3, 0.5, 1.5, 3.0)
-# Time between a VM's word that it leaves and its end.
-LEAVING_S = 2.0
-# Longest time that a VM looks for a target before it gives a request up.
+# Time between a VM's announcement that it is leaving and its stop.
+LEAVE_DELAY_S = 2.0
+# Longest time that a VM searches for a target before it gives up on a request.
 ROUTE_TIMEOUT_S = 1.2
-# Part of a mix's faults that do not begin while the first goes on.
-APART_PART = 0.3
+# Share of the faults of a mix that need not begin during the first fault.
+SEPARATE_SHARE = 0.3
 
 
-class Kind(StrEnum):
-    """What goes wrong."""
+class FaultKind(StrEnum):
+    """The kinds of fault."""
 
     CALM = "calm"
     ISOLATED = "isolated"
@@ -47,88 +48,96 @@
     MIXED = "mixed"
 
 
-CUTS = (Kind.ISOLATED, Kind.SPLIT, Kind.ONE_WAY)
+CUT_KINDS = (FaultKind.ISOLATED, FaultKind.SPLIT, FaultKind.ONE_WAY)
 
 
 @frozen
 class Fault:
-    """One fault of a play.
+    """One fault of a simulation.
 
     Parameters
     ----------
-    kind : Kind
+    kind : FaultKind
     starts_at, ends_at : float
-        Seconds from the start of the play.
+        Seconds from the start of the simulation.
     vms : tuple of str
-    choice : float
-        From 0 to 1; draws what else a kind leaves open.
+        The VMs that it affects.
+    variant : float
+        A random number from 0 to 1 that selects a variant of the fault, such as its
+        direction or its size.
     """
 
-    kind: Kind
+    kind: FaultKind
     starts_at: float
     ends_at: float
     vms: tuple[str, ...]
-    choice: float
+    variant: float
 
-    async def play(self, fleet: ModelFleet):
-        """Let it happen and end."""
+    async def inject(self, fleet: ModelFleet):
+        """Wait for the start of the fault, inject it, and revert it at its end."""
         await trio.sleep(self.starts_at)
-        async with _FAULTS[self.kind](fleet, self):
+        async with _INJECTORS[self.kind](fleet, self):
             await trio.sleep(self.ends_at - self.starts_at)
 
 
 def draw_faults(
-    kind: Kind, rng: random.Random, places: list[Place], seconds: float
+    kind: FaultKind, rng: random.Random, locations: list[VmLocation], seconds: float
 ) -> list[Fault]:
-    """Return a play's faults."""
-    if kind is Kind.CALM:
+    """Draw the faults of a simulation."""
+    if kind is FaultKind.CALM:
         return []
-    if kind is Kind.EARLY:
-        fault = _draw(rng.choice(CUTS), rng, places, seconds)
+    if kind is FaultKind.EARLY:
+        fault = _draw_fault(rng.choice(CUT_KINDS), rng, locations, seconds)
         length_s = fault.ends_at - fault.starts_at
-        starts_at = rng.uniform(*EARLY_S)
+        starts_at = rng.uniform(*EARLY_START_S)
         return [evolve(fault, starts_at=starts_at, ends_at=starts_at + length_s)]
-    if kind is not Kind.MIXED:
-        return [_draw(kind, rng, places, seconds)]
-    kinds = [one for one in _FAULTS if one is not Kind.ALL_OFF]
+    if kind is not FaultKind.MIXED:
+        return [_draw_fault(kind, rng, locations, seconds)]
+    kinds = [one for one in _INJECTORS if one is not FaultKind.ALL_OFF]
     count = rng.choice((2, 2, 3, 4))
     first, *others = [
-        _draw(rng.choice(kinds), rng, places, seconds) for _ in range(count)
+        _draw_fault(rng.choice(kinds), rng, locations, seconds) for _ in range(count)
     ]
-    return [first, *(_moved(fault, first, rng) for fault in others)]
+    return [first, *(_move_into_first(fault, first, rng) for fault in others)]
 
 
-def _moved(fault: Fault, first: Fault, rng: random.Random) -> Fault:
-    """Return a fault that mostly begins while the first goes on."""
-    if rng.random() < APART_PART:
+def _move_into_first(fault: Fault, first: Fault, rng: random.Random) -> Fault:
+    """Let a fault begin during the first one, except for a share of the faults."""
+    if rng.random() < SEPARATE_SHARE:
         return fault
     starts_at = rng.uniform(first.starts_at, first.ends_at)
     ends_at = starts_at + fault.ends_at - fault.starts_at
     return evolve(fault, starts_at=starts_at, ends_at=ends_at)
 
 
-def _draw(kind: Kind, rng: random.Random, places: list[Place], seconds: float) -> Fault:
-    is_short = kind in (Kind.FROZEN, Kind.RESTARTED, Kind.ALL_OFF)
-    length_s = rng.uniform(*(SHORT_S if is_short else LENGTHS_S))
-    latest = max(WARM_S, seconds - length_s - HEALING_S)
-    starts_at = rng.uniform(WARM_S, latest)
-    vms = _drawn_vms(rng, places)
+def _draw_fault(
+    kind: FaultKind, rng: random.Random, locations: list[VmLocation], seconds: float
+) -> Fault:
+    is_short = kind in (FaultKind.FROZEN, FaultKind.RESTARTED, FaultKind.ALL_OFF)
+    length_s = rng.uniform(*(SHORT_LENGTHS_S if is_short else LENGTHS_S))
+    latest = max(WARMUP_S, seconds - length_s - HEALING_S)
+    starts_at = rng.uniform(WARMUP_S, latest)
+    vms = _draw_vms(rng, locations)
     return Fault(kind, starts_at, starts_at + length_s, vms, rng.random())
 
 
-def _drawn_vms(rng: random.Random, places: list[Place]) -> tuple[str, ...]:
-    """Return some VMs, all of a failure domain, or all of a region."""
-    one = rng.choice(places)
+def _draw_vms(rng: random.Random, locations: list[VmLocation]) -> tuple[str, ...]:
+    """Draw several VMs, all VMs of a failure domain, or all VMs of a region."""
+    one = rng.choice(locations)
     patterns = (
-        rng.sample(places, rng.randint(1, max(1, len(places) // 2))),
-        [place for place in places if place.failure_domain == one.failure_domain],
-        [place for place in places if place.region == one.region],
+        rng.sample(locations, rng.randint(1, max(1, len(locations) // 2))),
+        [
+            location
+            for location in locations
+            if location.failure_domain == one.failure_domain
+        ],
+        [location for location in locations if location.region == one.region],
     )
-    return tuple(place.vm for place in rng.choice((patterns[0], *patterns)))
+    return tuple(location.vm for location in rng.choice((patterns[0], *patterns)))
 
 
 def period_at(faults: list[Fault], at: float) -> Period:
-    """Return what the fleet goes through at a time of the play."""
+    """Return the period that a time of the simulation belongs to."""
     if any(fault.starts_at <= at < fault.ends_at for fault in faults):
         return Period.FAULT
     if any(fault.ends_at <= at < fault.ends_at + HEALING_S for fault in faults):
@@ -136,137 +145,143 @@
     return Period.CALM
 
 
-def _ips(fleet: ModelFleet, fault: Fault) -> set[str]:
-    return {fleet.places[vm].ip for vm in fault.vms if vm in fleet.places}
+def _fault_ips(fleet: ModelFleet, fault: Fault) -> set[str]:
+    return {fleet.locations[vm].ip for vm in fault.vms if vm in fleet.locations}
 
 
 @contextlib.contextmanager
-def _cut(fleet: ModelFleet, is_cut: Callable[[str, str], bool]) -> Iterator[None]:
-    fleet.network.cuts.append(is_cut)
+def _block_datagrams(
+    fleet: ModelFleet, is_blocked: Callable[[str, str], bool]
+) -> Iterator[None]:
+    fleet.network.block_rules.append(is_blocked)
     try:
         yield
     finally:
-        fleet.network.cuts.remove(is_cut)
+        fleet.network.block_rules.remove(is_blocked)
 
 
 @contextlib.asynccontextmanager
 async def _isolated(fleet: ModelFleet, fault: Fault):
-    """Cut each VM off from all others."""
-    ips = _ips(fleet, fault)
-    with _cut(fleet, lambda sender, receiver: sender in ips or receiver in ips):
+    """Block all datagrams from and to the affected VMs."""
+    ips = _fault_ips(fleet, fault)
+    with _block_datagrams(
+        fleet, lambda sender, receiver: sender in ips or receiver in ips
+    ):
         yield
 
 
 @contextlib.asynccontextmanager
 async def _split(fleet: ModelFleet, fault: Fault):
-    """Let some VMs reach each other only, and the others each other."""
-    ips = _ips(fleet, fault)
-    with _cut(fleet, lambda sender, receiver: (sender in ips) != (receiver in ips)):
+    """Partition the network between the affected VMs and all others."""
+    ips = _fault_ips(fleet, fault)
+    with _block_datagrams(
+        fleet, lambda sender, receiver: (sender in ips) != (receiver in ips)
+    ):
         yield
 
 
 @contextlib.asynccontextmanager
 async def _one_way(fleet: ModelFleet, fault: Fault):
-    """Let some VMs be heard by nobody, or hear nobody."""
-    ips = _ips(fleet, fault)
-    is_mute = fault.choice < 0.5
+    """Block the datagrams from the affected VMs to all others, or the reverse."""
+    ips = _fault_ips(fleet, fault)
+    is_mute = fault.variant < 0.5
 
-    def is_cut(sender, receiver):
+    def is_blocked(sender, receiver):
         if is_mute:
             return sender in ips and receiver not in ips
         return receiver in ips and sender not in ips
 
-    with _cut(fleet, is_cut):
+    with _block_datagrams(fleet, is_blocked):
         yield
 
 
 @contextlib.asynccontextmanager
 async def _frozen(fleet: ModelFleet, fault: Fault):
-    """Let processes stand still."""
-    frozen_vms = [fleet.running[vm] for vm in fault.vms if vm in fleet.running]
-    for vm in frozen_vms:
-        vm.freeze()
+    """Pause the processes of the affected VMs."""
+    paused_vms = [fleet.running[vm] for vm in fault.vms if vm in fleet.running]
+    for vm in paused_vms:
+        vm.pause()
     yield
-    for vm in frozen_vms:
-        await vm.thaw()
+    for vm in paused_vms:
+        await vm.resume()
 
 
 @contextlib.asynccontextmanager
 async def _restarted(fleet: ModelFleet, fault: Fault):
-    """End VMs at once and start them anew."""
+    """Stop the affected VMs immediately, and start them again at the end."""
     for vm in fault.vms:
         fleet.stop(vm)
     yield
     for vm in fault.vms:
         if vm not in fleet.running:
-            fleet.start(fleet.places[vm])
+            fleet.start(fleet.locations[vm])
 
 
 @contextlib.asynccontextmanager
 async def _all_off(fleet: ModelFleet, fault: Fault):
-    """End all VMs at once and start them anew, a little apart."""
-    places = [vm.place for vm in fleet.running.values()]
-    for place in places:
-        fleet.stop(place.vm)
+    """Stop all VMs immediately, and start them again one after another."""
+    locations = [vm.location for vm in fleet.running.values()]
+    for location in locations:
+        fleet.stop(location.vm)
     yield
-    for place in places:
-        fleet.start(place)
-        await trio.sleep(fault.choice * 0.1)
+    for location in locations:
+        fleet.start(location)
+        await trio.sleep(fault.variant * 0.1)
 
 
 @contextlib.asynccontextmanager
 async def _joining(fleet: ModelFleet, fault: Fault):
-    """Let as many new VMs join, and leave again."""
+    """Add one new VM for each affected VM, and remove the new VMs again."""
     joined = []
     for vm in fault.vms:
-        beside = fleet.places[vm]
-        ip = f"{beside.ip}-{fleet.incarnation}"
+        existing = fleet.locations[vm]
+        ip = f"{existing.ip}-{fleet.incarnation}"
         name = f"{vm}-more-{fleet.incarnation}"
-        place = Place(name, ip, beside.failure_domain, beside.region)
-        joined.append(fleet.start(place))
+        location = VmLocation(name, ip, existing.failure_domain, existing.region)
+        joined.append(fleet.start(location))
     yield
     for vm in joined:
-        await vm.leave()
-    await trio.sleep(LEAVING_S)
+        await vm.announce_leaving()
+    await trio.sleep(LEAVE_DELAY_S)
     for vm in joined:
-        fleet.stop(vm.place.vm)
+        fleet.stop(vm.location.vm)
 
 
 @contextlib.asynccontextmanager
 async def _quota(fleet: ModelFleet, fault: Fault):
-    """Change a quota, and change it back."""
-    before = fleet.workspaces[HOT]
-    factor = QUOTA_FACTORS[int(fault.choice * len(QUOTA_FACTORS))]
-    fleet.change_quota(HOT, before.rate_per_s * factor, before.burst * factor)
+    """Change the quota of the hot workspace, and restore it."""
+    before = fleet.workspaces[HOT_WORKSPACE]
+    factor = QUOTA_FACTORS[int(fault.variant * len(QUOTA_FACTORS))]
+    fleet.change_quota(HOT_WORKSPACE, before.rate_per_s * factor, before.burst * factor)
     yield
-    fleet.change_quota(HOT, before.rate_per_s, before.burst)
+    fleet.change_quota(HOT_WORKSPACE, before.rate_per_s, before.burst)
 
 
 @contextlib.asynccontextmanager
 async def _store(fleet: ModelFleet, fault: Fault):
-    """Let the store answer nobody."""
-    fleet.is_store_away = True
+    """Make the store unavailable to all VMs."""
+    fleet.is_store_down = True
     yield
-    fleet.is_store_away = False
+    fleet.is_store_down = False
 
 
 @contextlib.asynccontextmanager
 async def _targets(fleet: ModelFleet, fault: Fault):
-    """Let no target take a request, so that VMs give tokens back."""
-    fleet.looks_s = fault.choice * ROUTE_TIMEOUT_S
+    """Make all targets reject requests, so that VMs return quota tokens."""
+    fleet.target_search_s = fault.variant * ROUTE_TIMEOUT_S
     yield
-    fleet.looks_s = None
-
-
-_FAULTS = {
-    Kind.ISOLATED: _isolated,
-    Kind.SPLIT: _split,
-    Kind.ONE_WAY: _one_way,
-    Kind.FROZEN: _frozen,
-    Kind.RESTARTED: _restarted,
-    Kind.JOINING: _joining,
-    Kind.QUOTA: _quota,
-    Kind.ALL_OFF: _all_off,
-    Kind.STORE: _store,
-    Kind.TARGETS: _targets,
+    fleet.target_search_s = None
+
+
+_INJECTORS = {
+    FaultKind.ISOLATED: _isolated,
+    FaultKind.SPLIT: _split,
+    FaultKind.ONE_WAY: _one_way,
+    FaultKind.FROZEN: _frozen,
+    FaultKind.RESTARTED: _restarted,
+    FaultKind.JOINING: _joining,
+    FaultKind.QUOTA: _quota,
+    FaultKind.ALL_OFF: _all_off,
+    FaultKind.STORE: _store,
+    FaultKind.TARGETS: _targets,
 }
--- a/packages/measure/plantainshed_measure/limits_model.py
+++ b/packages/measure/plantainshed_measure/limits_model.py
@@ -1,7 +1,8 @@
-"""VMs that share workspaces' quotas, with all that they say, without sockets.
+"""Simulated VMs that share the quotas of workspaces, without sockets.
 
-Of a gateway stand here the parts that a quota depends on, as they are. The
-network, the callers, the store's answers and the clock are modelled.
+Each VM runs the gateway's own, unchanged parts that quotas depend on, and exchanges
+its datagrams in memory. The network, the callers, the answers of the store and the
+clock are simulated.
 """
 
 import random
@@ -25,28 +26,28 @@
 from plantainshed_gateway.settings import Bounds
 from plantainshed_gateway.speakers import Speakers
 
-from .limits_checks import Asked, Record
+from .limits_checks import RequestHistory, RequestOutcome
 from .limits_network import LimitsNetwork
 
 PORT = 7000
 LINK_MBPS = 100.0
-# What a start takes until the VM has its configuration and targets.
-START_S = (0.02, 0.3)
-# What a change of the configuration takes to a VM that reaches the store.
-CHANGE_S = (0.01, 1.0)
+# Time from the start of a VM until it has its configuration and targets.
+START_DURATION_S = (0.02, 0.3)
+# Delay until a changed configuration arrives at a VM that can reach the store.
+CHANGE_DELAY_S = (0.01, 1.0)
 STORE_POLL_S = 0.05
 
 
-class NoLog:
-    """Takes the place of a log that nobody reads."""
+class NullLog:
+    """Stands in for an event log and discards every event."""
 
     def event(self, event: str, **fields):
-        """Leave an event out."""
+        """Discard an event."""
 
 
 @frozen
-class Place:
-    """Where a VM is."""
+class VmLocation:
+    """The name, IP address, failure domain and region of a VM."""
 
     vm: str
     ip: str
@@ -55,28 +56,28 @@
 
 
 class ModelVm:
-    """One run of a VM: the parts of a gateway that quotas depend on.
+    """One incarnation of a VM, made of the gateway's parts that quotas depend on.
 
     Parameters
     ----------
     fleet : ModelFleet
-    place : Place
+    location : VmLocation
     incarnation : int
 
     Attributes
     ----------
-    is_thawed : trio.Event
+    is_resumed : trio.Event
         Set while the process is not paused.
     """
 
-    def __init__(self, fleet: "ModelFleet", place: Place, incarnation: int):
+    def __init__(self, fleet: "ModelFleet", location: VmLocation, incarnation: int):
         self.fleet = fleet
-        self.place = place
+        self.location = location
         self.incarnation = incarnation
         self.state = VmState.STARTING
         self.heartbeat_number = 0
         self.poison = PoisonTracker()
-        log = NoLog()
+        log = NullLog()
         self.members = Members(self._heartbeat({}))
         self.speakers = Speakers(self.members)
         self.round_trips = RoundTrips(fleet.region_of, log)
@@ -84,14 +85,14 @@
         self.peers = Peers(
             self.members,
             self.speakers,
-            place.ip,
+            location.ip,
             PORT,
             self._make_heartbeat,
             self._on_message,
             log,
         )
         self.peers.seeds = set(fleet.seeds)
-        self.peers.socket = fleet.network.open(place.ip)
+        self.peers.socket = fleet.network.open_socket(location.ip)
         self.loans = Loans(self.quotas, self.members, self.peers.send, self.round_trips)
         self.admission = Admission(None, self.quotas, self.loans)
         self.messages = PeerMessageHandler(
@@ -100,55 +101,55 @@
         self.workspaces: dict[str, Workspace] = {}
         self.scope = trio.CancelScope()
         self.nursery: trio.Nursery | None = None
-        self.is_thawed = trio.Event()
-        self.is_thawed.set()
+        self.is_resumed = trio.Event()
+        self.is_resumed.set()
         self.inbox: list[tuple[bytes, str]] = []
 
     async def run(self):
-        """Run all parts until the VM is off."""
-        self.fleet.network.receivers[self.place.ip] = self.take
+        """Run all parts until the VM is stopped."""
+        self.fleet.network.receivers[self.location.ip] = self.receive
         with self.scope:
             async with trio.open_nursery() as nursery:
                 self.nursery = self.messages.nursery = nursery
                 nursery.start_soon(self._send_heartbeats)
-                nursery.start_soon(self._know_vms)
+                nursery.start_soon(self._sync_vms)
                 nursery.start_soon(self._become_ready)
                 nursery.start_soon(self._upkeep)
 
     def stop(self):
-        """End this run at once."""
+        """Stop the VM immediately, without announcing it."""
         self.scope.cancel()
-        if self.fleet.network.receivers.get(self.place.ip) == self.take:
-            del self.fleet.network.receivers[self.place.ip]
+        if self.fleet.network.receivers.get(self.location.ip) == self.receive:
+            del self.fleet.network.receivers[self.location.ip]
 
-    def freeze(self):
-        """Let the process stand still; what arrives waits."""
-        self.is_thawed = trio.Event()
+    def pause(self):
+        """Pause the process; datagrams that arrive meanwhile are queued."""
+        self.is_resumed = trio.Event()
 
-    async def thaw(self):
-        """Let the process go on."""
+    async def resume(self):
+        """Resume the process and handle the queued datagrams."""
         if self.scope.cancel_called:
             return
         inbox, self.inbox = self.inbox, []
-        self.is_thawed.set()
+        self.is_resumed.set()
         for data, ip in inbox:
             await self.peers.handle_datagram(data, ip)
 
-    async def leave(self):
-        """Announce that this VM is about to end."""
+    async def announce_leaving(self):
+        """Announce to the other VMs that this VM is about to stop."""
         self.state = VmState.LEAVING
         await self.peers.send_now()
 
-    async def take(self, data: bytes, ip: str):
-        """Take in a datagram, once the process runs."""
-        if self.is_thawed.is_set():
+    async def receive(self, data: bytes, ip: str):
+        """Handle a datagram, or queue it while the process is paused."""
+        if self.is_resumed.is_set():
             await self.peers.handle_datagram(data, ip)
         else:
             self.inbox.append((data, ip))
 
     async def serve(self, name: str, sent_at: float):
-        """Admit one request or refuse it."""
-        await self.is_thawed.wait()
+        """Admit or refuse one request, and record the outcome."""
+        await self.is_resumed.wait()
         began_at = trio.current_time()
         workspace = self.workspaces[name]
         is_admitted = True
@@ -157,15 +158,17 @@
         except Refusal:
             is_admitted = False
         now = trio.current_time()
-        looks_s = self.fleet.looks_s if is_admitted else None
-        asked = Asked(sent_at, now, now - began_at, is_admitted, looks_s is None)
-        self.fleet.record.asked[name].append(asked)
-        if looks_s is not None:
-            await trio.sleep(looks_s)
+        target_search_s = self.fleet.target_search_s if is_admitted else None
+        outcome = RequestOutcome(
+            sent_at, now, now - began_at, is_admitted, target_search_s is None
+        )
+        self.fleet.record.requests[name].append(outcome)
+        if target_search_s is not None:
+            await trio.sleep(target_search_s)
             self.quotas.return_token(workspace, now)
 
-    def take_workspace(self, workspace: Workspace):
-        """Put a workspace's quota in force."""
+    def update_workspace(self, workspace: Workspace):
+        """Apply a workspace's quota."""
         self.workspaces = {**self.workspaces, workspace.name: workspace}
         self.quotas.workspaces = self.workspaces
 
@@ -174,47 +177,49 @@
         while True:
             await self.peers.send_now(to_far=number % HEARTBEATS_PER_SUMMARY == 0)
             await trio.sleep(HEARTBEAT_S)
-            await self.is_thawed.wait()
+            await self.is_resumed.wait()
             number += 1
 
     async def _upkeep(self):
         while True:
             await trio.sleep(UPKEEP_S)
-            await self.is_thawed.wait()
+            await self.is_resumed.wait()
             self.quotas.recompute_shares()
-            self._measure_unknown()
+            self._measure_round_trips()
             self.members.forget_gone()
 
-    def _measure_unknown(self):
-        for place in self.fleet.places.values():
-            domain = place.failure_domain
+    def _measure_round_trips(self):
+        for location in self.fleet.locations.values():
+            domain = location.failure_domain
             if self.round_trips.is_measured(domain):
                 continue
-            seconds = self.fleet.round_trip_s(self.place.ip, place.ip)
+            seconds = self.fleet.round_trip_s(self.location.ip, location.ip)
             if seconds is not None:
                 self.round_trips.record(domain, seconds)
 
-    async def _know_vms(self):
+    async def _sync_vms(self):
         while True:
-            await self.fleet.store_answers(self.place.ip)
+            await self.fleet.wait_for_store(self.location.ip)
             is_first = not self.members.is_listed
             self.members.is_listed = True
-            self.fleet.listed[self.place.vm] = self.place
-            for place in self.fleet.listed.values():
-                self.members.note_listed(place.vm, place.ip, place.failure_domain)
+            self.fleet.listed[self.location.vm] = self.location
+            for location in self.fleet.listed.values():
+                self.members.note_listed(
+                    location.vm, location.ip, location.failure_domain
+                )
             if is_first:
                 await self.peers.send_now()
             await trio.sleep(LIST_VMS_S)
 
     async def _become_ready(self):
-        await trio.sleep(self.fleet.rng.uniform(*START_S))
-        while not self.fleet.reaches_store(self.place.ip):
+        await trio.sleep(self.fleet.rng.uniform(*START_DURATION_S))
+        while not self.fleet.can_reach_store(self.location.ip):
             if self.members.heard_count() > 1:
-                # Another VM gives its copies.
+                # Another VM provides its copy of the configuration.
                 break
             await trio.sleep(STORE_POLL_S)
         for workspace in self.fleet.workspaces.values():
-            self.take_workspace(workspace)
+            self.update_workspace(workspace)
         if self.state is VmState.STARTING:
             self.state = VmState.READY
             await self.peers.send_now()
@@ -225,126 +230,133 @@
     def _make_heartbeat(self) -> Heartbeat:
         return self._heartbeat(self.quotas.usage(), self.members.count)
 
-    def _heartbeat(self, use: dict, known: int = 1) -> Heartbeat:
+    def _heartbeat(self, usage: dict, known: int = 1) -> Heartbeat:
         self.heartbeat_number += 1
         return Heartbeat(
-            vm=self.place.vm,
-            failure_domain=self.place.failure_domain,
-            region=self.place.region,
+            vm=self.location.vm,
+            failure_domain=self.location.failure_domain,
+            region=self.location.region,
             incarnation=self.incarnation,
             number=self.heartbeat_number,
             state=self.state,
-            caller_address=f"{self.place.ip}:80",
-            control_address=f"{self.place.ip}:81",
+            caller_address=f"{self.location.ip}:80",
+            control_address=f"{self.location.ip}:81",
             known_vm_count=known,
             weight=LINK_MBPS,
-            usage=use,
+            usage=usage,
         )
 
 
 @define
 class ModelFleet:
-    """All VMs of a play.
+    """All VMs of a simulation.
 
     Parameters
     ----------
     bounds : Bounds
     network : LimitsNetwork
     rng : random.Random
-        Draws what starts and changes take.
-    alter : callable
-        Called with each VM that is made; tests spoil one with it.
+        Draws how long VM starts and configuration changes take.
+    record : RequestHistory
+    on_vm_created : callable
+        Called with each VM before it runs; tests use it to inject a defect.
 
     Attributes
     ----------
-    places : dict of str to Place
-        Of all VMs that run or ran, by name.
-    listed : dict of str to Place
-        VMs in the store.
+    locations : dict of str to VmLocation
+        All VMs that run or have run, by name.
+    listed : dict of str to VmLocation
+        The VMs that are registered in the store.
     running : dict of str to ModelVm
     workspaces : dict of str to Workspace
         The newest configuration.
-    is_store_away : bool
-    looks_s : float or None
-        While no target takes a request: how long VMs look for one.
+    is_store_down : bool
+    target_search_s : float or None
+        While no target accepts requests: how long a VM searches for one before it
+        gives up. None while targets accept requests.
     """
 
     bounds: Bounds
     network: LimitsNetwork
     rng: random.Random
-    record: Record
-    alter: Callable[[ModelVm], None] = lambda vm: None
-    places: dict[str, Place] = field(factory=dict)
-    listed: dict[str, Place] = field(factory=dict)
+    record: RequestHistory
+    on_vm_created: Callable[[ModelVm], None] = lambda vm: None
+    locations: dict[str, VmLocation] = field(factory=dict)
+    listed: dict[str, VmLocation] = field(factory=dict)
     running: dict[str, ModelVm] = field(factory=dict)
     workspaces: dict[str, Workspace] = field(factory=dict)
     region_of: dict[str, str] = field(factory=dict)
     seeds: tuple[str, ...] = ()
-    is_store_away: bool = False
-    looks_s: float | None = None
+    is_store_down: bool = False
+    target_search_s: float | None = None
     nursery: trio.Nursery | None = None
     incarnation: int = 0
 
-    def start(self, place: Place) -> ModelVm:
-        """Start a VM, or start it anew."""
+    def start(self, location: VmLocation) -> ModelVm:
+        """Start a VM, or restart it as a new incarnation."""
         self.incarnation += 1
-        self.places[place.vm] = place
-        vm = ModelVm(self, place, self.incarnation)
-        self.alter(vm)
-        self.running[place.vm] = vm
+        self.locations[location.vm] = location
+        vm = ModelVm(self, location, self.incarnation)
+        self.on_vm_created(vm)
+        self.running[location.vm] = vm
         self.nursery.start_soon(vm.run)
         return vm
 
     def stop(self, name: str):
-        """End a VM at once."""
+        """Stop a VM immediately."""
         vm = self.running.pop(name, None)
         if vm is not None:
             vm.stop()
 
-    def serving(self) -> dict[str, ModelVm]:
-        """Return the VMs that callers reach, by name."""
+    def serving_vms(self) -> dict[str, ModelVm]:
+        """Return the VMs that receive requests from callers, by name."""
         return {
             name: vm
             for name, vm in self.running.items()
             if vm.state is not VmState.STARTING
         }
 
-    def reaches_store(self, ip: str) -> bool:
-        """Tell whether the store answers a VM; one that hears nobody is cut off."""
-        if self.is_store_away:
+    def can_reach_store(self, ip: str) -> bool:
+        """Return whether the store answers a VM.
+
+        A VM that can exchange datagrams with no other VM is cut off from the store too.
+        """
+        if self.is_store_down:
             return False
-        others = [p.ip for p in self.places.values() if p.ip != ip]
+        others = [
+            location.ip for location in self.locations.values() if location.ip != ip
+        ]
         return any(
-            self.network.passes(ip, other) and self.network.passes(other, ip)
+            self.network.can_deliver(ip, other) and self.network.can_deliver(other, ip)
             for other in others
         )
 
-    async def store_answers(self, ip: str):
+    async def wait_for_store(self, ip: str):
         """Wait until the store answers a VM."""
-        while not self.reaches_store(ip):
+        while not self.can_reach_store(ip):
             await trio.sleep(STORE_POLL_S)
 
     def round_trip_s(self, ip: str, other: str) -> float | None:
-        """Return how long a connection to another VM takes; None if it fails."""
+        """Return the round-trip time to another VM, or None if it is unreachable."""
         network = self.network
         if ip != other and not (
-            network.passes(ip, other) and network.passes(other, ip)
+            network.can_deliver(ip, other) and network.can_deliver(other, ip)
         ):
             return None
         return network.one_way_s(ip, other) + network.one_way_s(other, ip)
 
     def change_quota(self, name: str, rate_per_s: float, burst: float):
-        """Change a workspace's quota; VMs put it in force a little later."""
+        """Change a workspace's quota; each VM applies it after a random delay."""
         changed = evolve(self.workspaces[name], rate_per_s=rate_per_s, burst=burst)
         self.workspaces[name] = changed
-        self.record.note_quota(changed, trio.current_time())
+        self.record.record_quota(changed, trio.current_time())
         for vm in self.running.values():
-            self.nursery.start_soon(self._take_change, vm, changed)
+            self.nursery.start_soon(self._apply_change, vm, changed)
 
-    async def _take_change(self, vm: ModelVm, changed: Workspace):
-        await trio.sleep(self.rng.uniform(*CHANGE_S))
-        await self.store_answers(vm.place.ip)
-        await vm.is_thawed.wait()
+    async def _apply_change(self, vm: ModelVm, changed: Workspace):
+        await trio.sleep(self.rng.uniform(*CHANGE_DELAY_S))
+        await self.wait_for_store(vm.location.ip)
+        await vm.is_resumed.wait()
         newest = self.workspaces[changed.name]
-        vm.take_workspace(newest)
-        self.record.note_late(changed, trio.current_time())
+        vm.update_workspace(newest)
+        self.record.record_late_change(changed, trio.current_time())
--- a/packages/measure/plantainshed_measure/limits_network.py
+++ b/packages/measure/plantainshed_measure/limits_network.py
@@ -1,4 +1,4 @@
-"""Datagrams between VMs in memory: late, lost, out of order, or cut off."""
+"""An in-memory network for datagrams that are delayed, lost, reordered or blocked."""
 
 import heapq
 import itertools
@@ -9,23 +9,23 @@
 import trio
 from attrs import define, frozen
 
-FOREVER = float("inf")
-Cut = Callable[[str, str], bool]
-Take = Callable[[bytes, str], Awaitable[None]]
+NEVER = float("inf")
+BlockRule = Callable[[str, str], bool]
+DatagramHandler = Callable[[bytes, str], Awaitable[None]]
 
 
 @frozen
-class Weather:
-    """What happens to datagrams at all times.
+class NetworkConditions:
+    """Packet loss and delays that affect all datagrams.
 
     Parameters
     ----------
     loss, late : float
-        Parts of datagrams that are lost, or come late.
+        Shares of datagrams that are lost, or that arrive late.
     late_s : float
-        Most that a late one takes longer.
+        Largest extra delay of a late datagram.
     jitter : float
-        Most that each takes longer, as a part of its way.
+        Largest extra delay of any datagram, as a fraction of its one-way latency.
     """
 
     loss: float
@@ -35,88 +35,88 @@
 
 
 class LimitsNetwork:
-    """Carries datagrams between IP addresses.
+    """Delivers datagrams between IP addresses.
 
     Parameters
     ----------
     one_way_s : callable
-        Seconds from one IP address to another.
-    weather : Weather
+        Returns the one-way latency in seconds from one IP address to another.
+    conditions : NetworkConditions
     rng : random.Random
 
     Attributes
     ----------
-    cuts : list of callable
-        Each tells whether nothing passes from one address to another.
+    block_rules : list of callable
+        Each returns whether it blocks datagrams from one address to another.
     receivers : dict of str to callable
-        Awaited with the datagrams for an address.
+        Handlers by address, awaited with each datagram's bytes and its sender.
     """
 
     def __init__(
         self,
         one_way_s: Callable[[str, str], float],
-        weather: Weather,
+        conditions: NetworkConditions,
         rng: random.Random,
     ):
         self.one_way_s = one_way_s
-        self.weather = weather
+        self.conditions = conditions
         self.rng = rng
-        self.cuts: list[Cut] = []
-        self.receivers: dict[str, Take] = {}
+        self.block_rules: list[BlockRule] = []
+        self.receivers: dict[str, DatagramHandler] = {}
         self._numbers = itertools.count()
-        # When each datagram is due, its number, receiver, sender and bytes.
-        self._under_way: list[tuple[float, int, str, str, bytes]] = []
-        self._pause = trio.CancelScope()
+        # For each datagram: due time, number, receiver, sender and bytes.
+        self._in_flight: list[tuple[float, int, str, str, bytes]] = []
+        self._wait_scope = trio.CancelScope()
 
     async def run(self):
         """Deliver datagrams until cancelled."""
         while True:
-            due_at = self._under_way[0][0] if self._under_way else FOREVER
-            with trio.CancelScope(deadline=due_at) as self._pause:
+            due_at = self._in_flight[0][0] if self._in_flight else NEVER
+            with trio.CancelScope(deadline=due_at) as self._wait_scope:
                 await trio.sleep_forever()
             await self._deliver_due()
 
     async def _deliver_due(self):
         now = trio.current_time()
-        while self._under_way and self._under_way[0][0] <= now:
-            _, _, receiver, sender, data = heapq.heappop(self._under_way)
-            take = self.receivers.get(receiver)
-            if take is not None:
-                await take(data, sender)
-
-    def open(self, ip: str) -> "LimitsSocket":
-        """Return what a VM at an address sends with."""
+        while self._in_flight and self._in_flight[0][0] <= now:
+            _, _, receiver, sender, data = heapq.heappop(self._in_flight)
+            handler = self.receivers.get(receiver)
+            if handler is not None:
+                await handler(data, sender)
+
+    def open_socket(self, ip: str) -> "LimitsSocket":
+        """Return a socket that a VM at an address sends with."""
         return LimitsSocket(partial(self._send, ip))
 
-    def passes(self, sender: str, receiver: str) -> bool:
-        """Tell whether there is a way from one address to another."""
-        return not any(cut(sender, receiver) for cut in self.cuts)
+    def can_deliver(self, sender: str, receiver: str) -> bool:
+        """Return whether no rule blocks datagrams from one address to another."""
+        return not any(is_blocked(sender, receiver) for is_blocked in self.block_rules)
 
     def _send(self, sender: str, data: bytes, receiver: str):
-        if not self.passes(sender, receiver):
+        if not self.can_deliver(sender, receiver):
             return
-        if self.rng.random() < self.weather.loss:
+        if self.rng.random() < self.conditions.loss:
             return
-        due_at = trio.current_time() + self._way_s(sender, receiver)
+        due_at = trio.current_time() + self._delay_s(sender, receiver)
         number = next(self._numbers)
-        heapq.heappush(self._under_way, (due_at, number, receiver, sender, data))
-        if due_at < self._pause.deadline:
-            self._pause.deadline = due_at
+        heapq.heappush(self._in_flight, (due_at, number, receiver, sender, data))
+        if due_at < self._wait_scope.deadline:
+            self._wait_scope.deadline = due_at
 
-    def _way_s(self, sender: str, receiver: str) -> float:
-        way_s = self.one_way_s(sender, receiver)
-        way_s *= 1.0 + self.weather.jitter * self.rng.random()
-        if self.rng.random() < self.weather.late:
-            way_s += self.weather.late_s * self.rng.random()
-        return way_s
+    def _delay_s(self, sender: str, receiver: str) -> float:
+        delay_s = self.one_way_s(sender, receiver)
+        delay_s *= 1.0 + self.conditions.jitter * self.rng.random()
+        if self.rng.random() < self.conditions.late:
+            delay_s += self.conditions.late_s * self.rng.random()
+        return delay_s
 
 
 @define
 class LimitsSocket:
-    """The part of a socket that `Peers` sends with."""
+    """Implements the part of a socket that `Peers` uses."""
 
     send: Callable[[bytes, str], None]
 
     def sendto(self, data: bytes, address: tuple[str, int]):
-        """Send a datagram; it may be lost."""
+        """Send a datagram, which may be lost."""
         self.send(data, address[0])
--- a/packages/measure/plantainshed_measure/limits_search.py
+++ b/packages/measure/plantainshed_measure/limits_search.py
@@ -1,8 +1,9 @@
-"""``python -m plantainshed_measure.limits_search``: look for quotas that are broken.
+"""``python -m plantainshed_measure.limits_search``: search for violations of quotas.
 
-An INI file names sizes of fleets, distances between regions and kinds of fault.
-Each seed draws one of each, and what callers send; it is played on a clock of its
-own, and what was let through is checked.
+An INI file lists the sizes of fleets, the distances between regions and the kinds of
+fault. Each seed draws one of each, and the load that callers send. Each simulation
+runs on its own virtual clock, and the admitted requests are then checked against the
+quotas.
 """
 
 import configparser
@@ -23,54 +24,60 @@
 from plantainshed_gateway.settings import Bounds
 from plantainshed_standins.memory_network import run_deterministically
 
-from .limits_checks import Period, Record, Window, fullest_window, wrongful
-from .limits_demand import draw_stretches, draw_workspaces, send
-from .limits_faults import Fault, Kind, draw_faults, period_at
-from .limits_model import ModelFleet, Place
-from .limits_network import LimitsNetwork, Weather
+from .limits_checks import (
+    Period,
+    RequestHistory,
+    Window,
+    count_wrongful_refusals,
+    fullest_window,
+)
+from .limits_demand import draw_load_phases, draw_workspaces, send_requests
+from .limits_faults import Fault, FaultKind, draw_faults, period_at
+from .limits_model import ModelFleet, VmLocation
+from .limits_network import LimitsNetwork, NetworkConditions
 
 DEFAULT_FILE = "examples/experiments/limits.ini"
 REGIONS = 3
-DOMAINS = 6
-# Between failure domains of a region, and inside a failure domain.
-NEAR_ONE_WAY_S = 0.0005
-SAME_ONE_WAY_S = 0.00015
-START_APART_S = 0.5
+FAILURE_DOMAINS = 6
+# One-way latency between failure domains of a region, and within a failure domain.
+SAME_REGION_ONE_WAY_S = 0.0005
+SAME_DOMAIN_ONE_WAY_S = 0.00015
+START_SPREAD_S = 0.5
 LOSSES = (0.0, 0.01, 0.05)
-LATE_PARTS = (0.0, 0.0, 0.02)
+LATE_SHARES = (0.0, 0.0, 0.02)
 LATE_S = 1.5
 JITTERS = (0.05, 0.5)
-# Around a fault, so many seconds before its start and after its end, a workspace
-# begins to send more than its rate.
-HOT_AROUND_S = 3.0
+# The hot workspace starts to exceed its rate at some time between this many seconds
+# before the start of a fault and this many seconds after its end.
+HOT_MARGIN_S = 3.0
 
 
 class Exit(IntEnum):
     """Exit codes."""
 
-    KEPT = 0
-    OVER = 1
+    OK = 0
+    QUOTA_EXCEEDED = 1
 
 
 class BadLimits(ValueError):
-    """A file of limits cannot be used; says which option."""
+    """The limits file is invalid; the message names the option."""
 
 
 @frozen
 class Limits:
-    """What is searched.
+    """The range of simulations to search.
 
     Parameters
     ----------
     seeds : range
     seconds : float
-        Length of a play.
+        Length of a simulation.
     sizes : dict of int to float
-        How often a fleet has so many VMs.
+        Weight of each fleet size (number of VMs) when a size is drawn.
     distances : dict of str to tuple of float
-        Seconds one way between regions, by name; of several, each pair of regions
-        draws one.
-    kinds : list of Kind
+        One-way latencies between regions in seconds, by name. If there are several,
+        one is drawn for each pair of regions.
+    kinds : list of FaultKind
     bounds : Bounds
     """
 
@@ -78,48 +85,51 @@
     seconds: float
     sizes: dict[int, float]
     distances: dict[str, tuple[float, ...]]
-    kinds: list[Kind]
+    kinds: list[FaultKind]
     bounds: Bounds
 
 
 @frozen
 class Case:
-    """What a seed has drawn."""
+    """The parameters of one simulation, drawn from its seed."""
 
     seed: int
     size: int
     distance: str
-    kind: Kind
+    kind: FaultKind
 
 
 @frozen
-class Played:
-    """What a play showed.
+class SimulationResult:
+    """The result of one simulation.
 
     Parameters
     ----------
+    case : Case
     windows : list of Window
-        The fullest of each workspace.
-    owed, refused : Counter
-        Requests of workspaces within their rate, by `Period`.
+        The fullest window of each workspace.
+    within_rate, refused : Counter
+        Requests sent within the rate of their workspace, and how many of them were
+        refused or delayed, by `Period`.
     requests : int
+        Number of all requests.
     """
 
     case: Case
     windows: list[Window]
-    owed: Counter
+    within_rate: Counter
     refused: Counter
     requests: int
 
     @property
-    def over(self) -> list[Window]:
-        """The windows that break the rule, one a workspace at most."""
-        return [window for window in self.windows if window.is_over]
+    def exceeded_windows(self) -> list[Window]:
+        """The windows that exceed their bound, at most one for each workspace."""
+        return [window for window in self.windows if window.exceeds_bound]
 
     @property
     def fullest(self) -> Window:
-        """The fullest of all workspaces' windows."""
-        return max(self.windows, key=lambda window: window.used)
+        """The fullest window of all workspaces."""
+        return max(self.windows, key=lambda window: window.tolerance_used)
 
 
 def search(
@@ -131,36 +141,36 @@
     size: int | None = None,
     distance: str | None = None,
 ) -> int:
-    """Play seeds and print a table; exit with 1 if a quota was broken.
+    """Simulate all seeds and print a table; exit with 1 if a quota was exceeded.
 
     Parameters
     ----------
     file : str
     jobs : int
-        Plays that run at a time.
+        Number of simulations that run in parallel.
     seed : int, optional
-        The only one that is played.
+        Simulate only this seed.
     seeds : str, optional
-        ``FIRST-LAST``, in place of the file's.
+        ``FIRST-LAST``; overrides the seeds of the file.
     kind, size, distance : optional
-        In place of what seeds draw.
+        Override the values that each seed draws.
     """
     limits = read_limits(Path(file))
     numbers = [seed] if seed is not None else _seeds(seeds) if seeds else limits.seeds
     cases = [draw_case(limits, number, kind, size, distance) for number in numbers]
     began_at = time.monotonic()
-    plays = []
-    for played in play_all(limits, cases, jobs):
-        plays.append(played)
-        _print_over(played)
-    _print_table(plays)
-    print(f"{len(plays)} plays in {time.monotonic() - began_at:.0f} s")
-    is_over = any(played.over for played in plays)
-    raise SystemExit(Exit.OVER if is_over else Exit.KEPT)
+    results = []
+    for result in simulate_all(limits, cases, jobs):
+        results.append(result)
+        _print_exceeded(result)
+    _print_table(results)
+    print(f"{len(results)} plays in {time.monotonic() - began_at:.0f} s")
+    is_exceeded = any(result.exceeded_windows for result in results)
+    raise SystemExit(Exit.QUOTA_EXCEEDED if is_exceeded else Exit.OK)
 
 
 def read_limits(path: Path) -> Limits:
-    """Read and check a file of limits, or raise `BadLimits`."""
+    """Read and validate a limits file; raise `BadLimits` if it is invalid."""
     parser = configparser.ConfigParser(interpolation=None)
     try:
         parser.read_string(path.read_text(encoding="utf-8"))
@@ -168,12 +178,14 @@
         return Limits(
             seeds=_seeds(section["seeds"]),
             seconds=parse_duration(section["length"]),
-            sizes={int(name): float(often) for name, often in parser["sizes"].items()},
+            sizes={
+                int(name): float(weight) for name, weight in parser["sizes"].items()
+            },
             distances={
                 name: tuple(parse_duration(one) for one in _list(text))
                 for name, text in parser["distances"].items()
             },
-            kinds=[Kind(one) for one in _list(section["kinds"])],
+            kinds=[FaultKind(one) for one in _list(section["kinds"])],
             bounds=Bounds(
                 stop_within_s=0.0,
                 longest_ttl_s=0.0,
@@ -208,193 +220,206 @@
     size: int | None = None,
     distance: str | None = None,
 ) -> Case:
-    """Return what a seed plays; what is given is not drawn."""
+    """Draw the parameters of a seed's simulation; given values take precedence."""
     rng = random.Random(f"case {seed}")
     drawn_size = rng.choices(list(limits.sizes), list(limits.sizes.values()))[0]
     drawn_distance = rng.choice(list(limits.distances))
     drawn_kind = rng.choice(limits.kinds)
     return Case(
-        seed, size or drawn_size, distance or drawn_distance, Kind(kind or drawn_kind)
+        seed,
+        size or drawn_size,
+        distance or drawn_distance,
+        FaultKind(kind or drawn_kind),
     )
 
 
-def play_all(limits: Limits, cases: list[Case], jobs: int) -> Iterator[Played]:
-    """Play cases, several at a time, and yield what each showed."""
+def simulate_all(
+    limits: Limits, cases: list[Case], jobs: int
+) -> Iterator[SimulationResult]:
+    """Simulate all cases, several in parallel, and yield their results."""
     if jobs == 1 or len(cases) == 1:
-        yield from (play(limits, case) for case in cases)
+        yield from (simulate(limits, case) for case in cases)
         return
     with ProcessPoolExecutor(jobs) as pool:
-        yield from pool.map(play, itertools.repeat(limits), cases, chunksize=4)
+        yield from pool.map(simulate, itertools.repeat(limits), cases, chunksize=4)
 
 
-def play(limits: Limits, case: Case, alter=lambda vm: None) -> Played:
-    """Play one case and check what was let through.
+def simulate(
+    limits: Limits, case: Case, on_vm_created=lambda vm: None
+) -> SimulationResult:
+    """Simulate one case and check the admitted requests against the quotas.
 
     Parameters
     ----------
-    alter : callable
-        Called with each VM that is made; tests spoil one with it.
+    limits : Limits
+    case : Case
+    on_vm_created : callable
+        Called with each VM before it runs; tests use it to inject a defect.
     """
 
     async def run():
-        made = Play(limits, case, alter)
-        await made.run()
-        return made.checked()
+        simulation = Simulation(limits, case, on_vm_created)
+        await simulation.run()
+        return simulation.result()
 
     return run_deterministically(run, seed=case.seed)
 
 
 @define
-class Play:
-    """One case while it is played."""
+class Simulation:
+    """The simulation of one case."""
 
     limits: Limits
     case: Case
-    alter: object
+    on_vm_created: object
     rng: random.Random = field(init=False)
     fleet: ModelFleet = field(init=False)
-    places: list[Place] = field(init=False)
+    locations: list[VmLocation] = field(init=False)
     faults: list[Fault] = field(init=False)
     began_at: float = field(init=False)
 
     def __attrs_post_init__(self):
         self.rng = random.Random(f"play {self.case.seed}")
-        self.places = make_places(self.case.size)
-        network = LimitsNetwork(self._draw_ways(), self._draw_weather(), self.rng)
+        self.locations = make_locations(self.case.size)
+        network = LimitsNetwork(self._draw_delays(), self._draw_conditions(), self.rng)
         self.fleet = ModelFleet(
-            self.limits.bounds, network, self.rng, Record(), self.alter
+            self.limits.bounds, network, self.rng, RequestHistory(), self.on_vm_created
         )
-        self.fleet.region_of = {p.failure_domain: p.region for p in self.places}
-        self.fleet.seeds = tuple(place.ip for place in self.places[:REGIONS])
-        self.fleet.listed = {place.vm: place for place in self.places}
+        self.fleet.region_of = {
+            one.failure_domain: one.region for one in self.locations
+        }
+        self.fleet.seeds = tuple(location.ip for location in self.locations[:REGIONS])
+        self.fleet.listed = {location.vm: location for location in self.locations}
         self.faults = draw_faults(
-            self.case.kind, self.rng, self.places, self.limits.seconds
+            self.case.kind, self.rng, self.locations, self.limits.seconds
         )
         self.began_at = trio.current_time()
 
-    def _draw_weather(self) -> Weather:
-        return Weather(
+    def _draw_conditions(self) -> NetworkConditions:
+        return NetworkConditions(
             self.rng.choice(LOSSES),
-            self.rng.choice(LATE_PARTS),
+            self.rng.choice(LATE_SHARES),
             LATE_S,
             self.rng.choice(JITTERS),
         )
 
-    def _draw_ways(self):
-        """Return a function with the seconds from one address to another."""
-        place_of = {place.ip: place for place in self.places}
+    def _draw_delays(self):
+        """Return a function that gives the one-way latency between two addresses."""
+        location_of = {location.ip: location for location in self.locations}
         possible = self.limits.distances[self.case.distance]
-        regions = sorted({place.region for place in self.places})
-        ways = {}
+        regions = sorted({location.region for location in self.locations})
+        delays = {}
         for one, other in itertools.combinations(regions, 2):
-            ways[one, other] = ways[other, one] = self.rng.choice(possible)
+            delays[one, other] = delays[other, one] = self.rng.choice(possible)
 
         def one_way_s(sender: str, receiver: str) -> float:
-            here = place_of[sender.partition("-")[0]]
-            there = place_of[receiver.partition("-")[0]]
+            here = location_of[sender.partition("-")[0]]
+            there = location_of[receiver.partition("-")[0]]
             if here.region != there.region:
-                return ways[here.region, there.region]
+                return delays[here.region, there.region]
             if here.failure_domain != there.failure_domain:
-                return NEAR_ONE_WAY_S
-            return SAME_ONE_WAY_S
+                return SAME_REGION_ONE_WAY_S
+            return SAME_DOMAIN_ONE_WAY_S
 
         return one_way_s
 
     async def run(self):
-        """Play it to its end."""
+        """Run the simulation to its end."""
         async with trio.open_nursery() as nursery:
             self.fleet.nursery = nursery
             nursery.start_soon(self.fleet.network.run)
             for workspace in draw_workspaces(self.rng):
                 self.fleet.workspaces[workspace.name] = workspace
-                self.fleet.record.note_quota(workspace, trio.current_time())
-            for place in self.places:
-                nursery.start_soon(self._start_later, place)
+                self.fleet.record.record_quota(workspace, trio.current_time())
+            for location in self.locations:
+                nursery.start_soon(self._start_later, location)
             self._start_callers(nursery)
             for fault in self.faults:
-                nursery.start_soon(fault.play, self.fleet)
+                nursery.start_soon(fault.inject, self.fleet)
             await trio.sleep(self.limits.seconds)
             nursery.cancel_scope.cancel()
 
-    async def _start_later(self, place: Place):
-        await trio.sleep(self.rng.uniform(0.0, START_APART_S))
-        self.fleet.start(place)
+    async def _start_later(self, location: VmLocation):
+        await trio.sleep(self.rng.uniform(0.0, START_SPREAD_S))
+        self.fleet.start(location)
 
     def _start_callers(self, nursery: trio.Nursery):
         hot_from = self._draw_hot_from()
         for workspace in list(self.fleet.workspaces.values()):
-            stretches = draw_stretches(
-                self.rng, workspace, self.places, self.limits.seconds, hot_from
+            phases = draw_load_phases(
+                self.rng, workspace, self.locations, self.limits.seconds, hot_from
             )
             rng = random.Random(f"{workspace.name} {self.case.seed}")
-            nursery.start_soon(send, self.fleet, workspace.name, stretches, rng)
+            nursery.start_soon(send_requests, self.fleet, workspace.name, phases, rng)
 
     def _draw_hot_from(self) -> float:
         if not self.faults:
             return self.rng.uniform(0.0, self.limits.seconds)
         fault = self.rng.choice(self.faults)
         return self.rng.uniform(
-            max(0.0, fault.starts_at - HOT_AROUND_S), fault.ends_at + HOT_AROUND_S
+            max(0.0, fault.starts_at - HOT_MARGIN_S), fault.ends_at + HOT_MARGIN_S
         )
 
-    def checked(self) -> Played:
-        """Return what the play showed."""
+    def result(self) -> SimulationResult:
+        """Return the result of the simulation."""
         record, bounds = self.fleet.record, self.limits.bounds
-        windows, owed, refused = [], Counter(), Counter()
-        for name in record.asked:
+        windows, within_rate, refused = [], Counter(), Counter()
+        for name in record.requests:
             window = fullest_window(record, bounds, name)
             if window is not None:
                 windows.append(window)
-            of_one = wrongful(record, bounds, name, self._period_at)
-            owed.update(of_one[0])
-            refused.update(of_one[1])
-        requests = sum(len(asked) for asked in record.asked.values())
-        return Played(self.case, windows, owed, refused, requests)
+            counts = count_wrongful_refusals(record, bounds, name, self._period_at)
+            within_rate.update(counts[0])
+            refused.update(counts[1])
+        requests = sum(len(outcomes) for outcomes in record.requests.values())
+        return SimulationResult(self.case, windows, within_rate, refused, requests)
 
     def _period_at(self, moment: float) -> Period:
         return period_at(self.faults, moment - self.began_at)
 
 
-def make_places(size: int) -> list[Place]:
-    """Return VMs in failure domains of regions, as evenly as can be."""
-    places = []
+def make_locations(size: int) -> list[VmLocation]:
+    """Return VMs that are spread evenly over failure domains and regions."""
+    locations = []
     for index in range(size):
-        domain = index % DOMAINS
+        domain = index % FAILURE_DOMAINS
         region = f"r{domain % REGIONS}"
         failure_domain = f"{region}{'ab'[domain // REGIONS]}"
-        place = Place(f"vm{index}", f"10.0.{domain}.{index}", failure_domain, region)
-        places.append(place)
-    return places
+        location = VmLocation(
+            f"vm{index}", f"10.0.{domain}.{index}", failure_domain, region
+        )
+        locations.append(location)
+    return locations
 
 
-def _print_table(plays: list[Played]):
-    groups: dict[tuple, list[Played]] = {}
-    for played in plays:
-        groups.setdefault((played.case.distance, played.case.kind), []).append(played)
+def _print_table(results: list[SimulationResult]):
+    groups: dict[tuple, list[SimulationResult]] = {}
+    for result in results:
+        groups.setdefault((result.case.distance, result.case.kind), []).append(result)
     names = ("distance", "fault", "plays", "over", "used", "by seed", *Period)
     print("  ".join(name.rjust(9) for name in names))
     for (distance, kind), of_group in sorted(groups.items()):
-        over = sum(len(one.over) for one in of_group)
-        most = max(of_group, key=lambda played: played.fullest.used)
-        used = f"{most.fullest.used:.3f}"
-        row = [distance, kind.value, len(of_group), over, used, most.case.seed]
-        row += [_share(of_group, period) for period in Period]
+        exceeded = sum(len(one.exceeded_windows) for one in of_group)
+        fullest = max(of_group, key=lambda result: result.fullest.tolerance_used)
+        used = f"{fullest.fullest.tolerance_used:.3f}"
+        row = [distance, kind.value, len(of_group), exceeded, used, fullest.case.seed]
+        row += [_format_refusal_share(of_group, period) for period in Period]
         print("  ".join(str(cell).rjust(9) for cell in row))
 
 
-def _share(plays: list[Played], period: Period) -> str:
-    owed = sum(played.owed[period] for played in plays)
-    refused = sum(played.refused[period] for played in plays)
-    return f"{refused / owed:.4f}" if owed else "-"
+def _format_refusal_share(results: list[SimulationResult], period: Period) -> str:
+    within_rate = sum(result.within_rate[period] for result in results)
+    refused = sum(result.refused[period] for result in results)
+    return f"{refused / within_rate:.4f}" if within_rate else "-"
 
 
-def _print_over(played: Played):
-    case = played.case
-    for window in played.over:
+def _print_exceeded(result: SimulationResult):
+    case = result.case
+    for window in result.exceeded_windows:
         print(
             f"OVER: --seed {case.seed} --size {case.size} --distance {case.distance}"
-            f" --kind {case.kind}: {window.workspace} let {window.count} through where"
-            f" {window.bound:.1f} are allowed, in the window that ends at"
+            f" --kind {case.kind}: {window.workspace} admitted {window.count} requests,"
+            f" more than the {window.bound:.1f} allowed, in the window that ends at"
             f" {window.ends_at:.3f} s",
             flush=True,
         )
--- a/tests/measure/test_experiment.py
+++ b/tests/measure/test_experiment.py
@@ -18,7 +18,7 @@
             path.write_text("\n".join(lines))
             return read_experiment(path)
 
-    def test_one_row_for_each_combination(self):
+    def test_returns_one_row_for_each_combination(self):
         experiment = self.read(
             policies="chosen, random",
             round_trips="110ms",
@@ -33,8 +33,8 @@
         )
         self.assertTrue(all(0 < row["in_time"] <= 1 for row in rows))
 
-    def test_faults_of_a_file_are_told(self):
-        """Guards against a misspelt policy that is left out without a word."""
+    def test_invalid_values_raise_bad_experiment(self):
+        """Guards against a misspelt policy or invalid value that is ignored."""
         for changed in (
             {"policies": "chosen, best"},
             {"length": "30"},
