--- a/packages/measure/plantainshed_measure/experiment.py
+++ b/packages/measure/plantainshed_measure/experiment.py
@@ -137,7 +137,7 @@
 
     async def run():
         fleet = ModelFleet(experiment.world, policies()[policy], round_trip_s)
-        await fleet.play(load, experiment.seconds, seed)
+        await fleet.run(load, experiment.seconds, seed)
         return fleet.tally.figures()
 
     return run_deterministically(run, seed=seed)
--- a/packages/measure/plantainshed_measure/placing_model.py
+++ b/packages/measure/plantainshed_measure/placing_model.py
@@ -307,7 +307,7 @@
             began_at=now,
         )
 
-    async def play(self, load: float, seconds: float, seed: int):
+    async def run(self, load: float, seconds: float, seed: int):
         """Play `load` requests a second, alike at all VMs."""
         rng = random.Random(seed)
         for vm in self.vms:
--- a/tests/gateway/test_far_regions.py
+++ b/tests/gateway/test_far_regions.py
@@ -14,7 +14,7 @@
 def play(policy: str, round_trip_s: float, load: float) -> ModelFleet:
     async def run():
         fleet = ModelFleet(WORLD, policies()[policy], round_trip_s)
-        await fleet.play(load, 30.0, seed=2)
+        await fleet.run(load, 30.0, seed=2)
         return fleet
 
     return run_deterministically(run)
