--- a/packages/measure/plantainshed_measure/experiment.py
+++ b/packages/measure/plantainshed_measure/experiment.py
@@ -1,8 +1,8 @@
-"""``python -m plantainshed_measure.experiment``: compare ways to place requests.
+"""``python -m plantainshed_measure.experiment``: compare placement policies.
 
-An INI file names policies, loads, distances and seeds. Each combination is played
-on a clock of its own; the table gives means over the seeds, and the spread of the
-share in time.
+An INI file lists policies, loads, round-trip times and seeds. Each combination is
+simulated on its own virtual clock. The table shows means over the seeds, and the
+spread between the seeds of the share of requests that are answered in time.
 """
 
 import configparser
@@ -26,22 +26,23 @@
 
 
 class BadExperiment(ValueError):
-    """An experiment's file cannot be used; says which option."""
+    """The experiment file is invalid; the message names the option."""
 
 
 @frozen
 class Experiment:
-    """What is compared.
+    """The combinations to compare.
 
     Parameters
     ----------
     policies : list of str
     round_trips_s : list of float
-        Between regions.
+        Round-trip times between regions.
     loads : list of float
-        Requests a second.
+        Requests per second.
     seeds : list of int
     seconds : float
+        Length of a simulation.
     world : World
     """
 
@@ -54,17 +55,17 @@
 
 
 def compare(file: str = DEFAULT_FILE, jobs: int = 3, as_json: bool = False):
-    """Play an experiment and print a table, or a line of JSON for each row.
+    """Simulate an experiment and print a table, or one line of JSON for each row.
 
     Parameters
     ----------
     file : str
     jobs : int
-        Plays that run at a time; each has a clock of its own.
+        Number of simulations that run in parallel, each on its own virtual clock.
     as_json : bool
     """
     experiment = read_experiment(Path(file))
-    rows = play_all(experiment, jobs)
+    rows = simulate_all(experiment, jobs)
     if as_json:
         for row in rows:
             print(json.dumps(row))
@@ -73,7 +74,7 @@
 
 
 def read_experiment(path: Path) -> Experiment:
-    """Read and check an experiment's file, or raise `BadExperiment`."""
+    """Read and validate an experiment file; raise `BadExperiment` if it is invalid."""
     parser = configparser.ConfigParser(interpolation=None)
     try:
         parser.read_string(path.read_text(encoding="utf-8"))
@@ -103,7 +104,7 @@
         raise BadExperiment(f"{path}: {error}") from error
     unknown = set(experiment.policies) - policies().keys()
     if unknown:
-        raise BadExperiment(f"{path}: no policy is named {', '.join(sorted(unknown))}")
+        raise BadExperiment(f"{path}: unknown policy: {', '.join(sorted(unknown))}")
     return experiment
 
 
@@ -111,29 +112,29 @@
     return [part.strip() for part in text.split(",") if part.strip()]
 
 
-def play_all(experiment: Experiment, jobs: int) -> list[dict]:
-    """Play all combinations and return a row of figures for each."""
+def simulate_all(experiment: Experiment, jobs: int) -> list[dict]:
+    """Simulate all combinations and return a row of figures for each."""
     combinations = list(
         itertools.product(
             experiment.round_trips_s, experiment.loads, experiment.policies
         )
     )
     with ProcessPoolExecutor(jobs) as pool:
-        plays = [
-            [pool.submit(play, experiment, *one, seed) for seed in experiment.seeds]
+        simulations = [
+            [pool.submit(simulate, experiment, *one, seed) for seed in experiment.seeds]
             for one in combinations
         ]
-        figures = [[future.result() for future in futures] for futures in plays]
+        figures = [[future.result() for future in futures] for futures in simulations]
     return [
         _row(combination, of_seeds)
         for combination, of_seeds in zip(combinations, figures, strict=True)
     ]
 
 
-def play(
+def simulate(
     experiment: Experiment, round_trip_s: float, load: float, policy: str, seed: int
 ) -> dict[str, float]:
-    """Play one combination with one seed and return its figures."""
+    """Simulate one combination with one seed and return its figures."""
 
     async def run():
         fleet = ModelFleet(experiment.world, policies()[policy], round_trip_s)
--- a/packages/measure/plantainshed_measure/fake_exchange.py
+++ b/packages/measure/plantainshed_measure/fake_exchange.py
@@ -1,4 +1,4 @@
-"""An exchange in memory, in place of a caller's connection."""
+"""An in-memory exchange that replaces a caller's connection in tests and replays."""
 
 import contextlib
 
@@ -8,12 +8,13 @@
 
 
 class FakeExchange:
-    """What `Serving` needs of an exchange.
+    """Implements what `Serving` uses of an exchange.
 
     Attributes
     ----------
     response : ResponseHead or None
-        What the caller was sent.
+        Head of the response that was sent to the caller.
+    response_body : bytes
     """
 
     def __init__(self, request: RequestHead, caller: str):
@@ -21,40 +22,40 @@
         self.caller = caller
         self.started = False
         self.response: ResponseHead | None = None
-        self.answer = b""
+        self.response_body = b""
 
     async def body(self):
-        """Yield the request's body: there is none."""
+        """Yield the chunks of the request body, which is empty."""
         return
         yield
 
     async def read_body(self, limit: int) -> bytes:
-        """Return the request's body."""
+        """Return the request body, which is empty."""
         return b""
 
     async def reply(self, status, headers, body=b""):
-        """Take a whole answer."""
+        """Record a whole response."""
         await self.start(status, headers)
         await self.send(body)
         await self.finish()
 
     async def start(self, status, headers):
-        """Take the head of an answer."""
+        """Record the head of a response."""
         await trio.lowlevel.checkpoint()
         self.started = True
         self.response = ResponseHead(status, list(headers))
 
     async def send(self, chunk):
-        """Take a piece of an answer."""
-        self.answer += chunk
+        """Record a chunk of the response body."""
+        self.response_body += chunk
 
     async def flush(self):
-        """Nothing is held back here."""
+        """Do nothing; no data is buffered."""
 
     async def finish(self):
-        """Take the end of an answer."""
+        """Do nothing at the end of a response."""
 
     @contextlib.asynccontextmanager
     async def cancel_on_caller_disconnect(self):
-        """Run a block; this caller stays."""
+        """Run a block; this caller never disconnects."""
         yield
--- a/packages/measure/plantainshed_measure/placing_model.py
+++ b/packages/measure/plantainshed_measure/placing_model.py
@@ -1,9 +1,9 @@
-"""A model of targets that remember objects, and of VMs that place requests there.
+"""A simulation of VMs that place requests on targets with an object cache.
 
-The gateway's own parts decide: placing, queue limits, connections. What they see
-of the world is modelled, on a clock that jumps: distances between regions, slots
-and queues of targets, and runs that take less time for an object that a target
-remembers.
+The VMs use the gateway's own placement, queue limits and connections. Their
+environment is simulated on a virtual clock: the latency between regions, the slots
+and queues of targets, and the duration of requests, which is shorter for an object
+that the target remembers.
 """
 
 import io
@@ -34,11 +34,11 @@
 from plantainshed_gateway.settings import Bounds
 from plantainshed_http.messages import RequestHead, ResponseHead
 
-from .placing_policies import PlacingPolicy
+from .placing_policies import PlacementPolicy
 
 POOL = "pool"
-NEAR_ROUND_TRIP_S = 0.001
-KEPT_OPEN = ResponseHead(200, [(b"keep-alive", b"timeout=10")])
+LOCAL_ROUND_TRIP_S = 0.001
+KEEP_ALIVE_RESPONSE = ResponseHead(200, [(b"keep-alive", b"timeout=10")])
 BOUNDS = Bounds(
     stop_within_s=6.0,
     longest_ttl_s=5.0,
@@ -56,17 +56,27 @@
 
 @frozen
 class World:
-    """What is modelled.
+    """The parameters of the simulated environment.
 
     Parameters
     ----------
     targets_per_region : tuple of int
-    vms_per_region, slots, queue, remembers, objects : int
-        VMs; requests that a target runs at once, and that wait there; objects that
-        it remembers; objects that callers ask for.
-    first_run_s, later_run_s, objective_s, timeout_s : float
-        Run of an object that a target does not remember, and of one that it does;
-        time within which callers want an answer, and longest one that they wait.
+    vms_per_region : int
+    slots : int
+        Requests that a target runs concurrently.
+    queue : int
+        Requests that can wait at a target.
+    remembers : int
+        Objects that a target remembers; it forgets the least recently used one first.
+    objects : int
+        Distinct objects that callers request.
+    first_run_s, later_run_s : float
+        Duration of a request for an object that the target does not remember, and for
+        one that it remembers.
+    objective_s : float
+        Time within which callers expect an answer.
+    timeout_s : float
+        Longest time that callers wait for an answer.
     """
 
     targets_per_region: tuple[int, ...] = (2, 4, 6)
@@ -87,7 +97,7 @@
 
 
 class ModelTarget:
-    """Runs requests in slots, keeps some waiting, and remembers objects."""
+    """A target that runs requests in slots, queues some, and remembers objects."""
 
     def __init__(self, world: World, region: str):
         self.world = world
@@ -97,7 +107,7 @@
 
     @property
     def load(self) -> TargetLoad:
-        """What it would report now."""
+        """The load that the target would report now."""
         counts = self.slots.statistics()
         return TargetLoad(
             counts.borrowed_tokens, counts.tasks_waiting, self.world.slots
@@ -105,11 +115,11 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether it turns requests away."""
+        """Whether the queue is full, so that the target rejects requests."""
         return self.load.waiting >= self.world.queue
 
     async def run(self, name: str) -> bool:
-        """Run a request for an object; tell whether it was a first run."""
+        """Run a request for an object; return whether the object was not remembered."""
         async with self.slots:
             is_first = name not in self.remembered
             self.remembered[name] = None
@@ -122,7 +132,7 @@
 
 
 class ModelConnection:
-    """A connection that nothing goes over."""
+    """A connection that transfers no data."""
 
     reusable = True
     stale = False
@@ -138,12 +148,20 @@
 
 @define
 class Tally:
-    """What callers got.
+    """Counts the outcomes of the callers' requests.
 
     Attributes
     ----------
+    sent, in_time, refused : int
+        All requests, those answered within the objective, and those refused.
+    crossed : int
+        Requests that ran in another region.
+    first_runs : int
+        Requests for an object that the target did not remember.
+    opened : int
+        Connections that were opened.
     took_s : list of float
-        Of answered requests.
+        Response times of answered requests.
     """
 
     sent: int = 0
@@ -155,7 +173,7 @@
     took_s: list[float] = field(factory=list)
 
     def figures(self) -> dict[str, float]:
-        """Return shares of all requests."""
+        """Return the counts as shares of all requests, and the mean response time."""
         sent = max(1, self.sent)
         return {
             "in_time": self.in_time / sent,
@@ -168,7 +186,7 @@
 
 
 class ModelVm:
-    """One VM's parts that place requests."""
+    """The parts of a VM that place requests."""
 
     def __init__(self, fleet: "ModelFleet", region: str, name: str):
         world = fleet.world
@@ -228,27 +246,29 @@
         await trio.sleep(one_way_s)
         state.note_load(load)
         state.in_flight -= 1
-        self.connections.release(state, connection, KEPT_OPEN)
+        self.connections.release(state, connection, KEEP_ALIVE_RESPONSE)
         self.queues.note_answer(state, trio.current_time() - began_at)
         tally.first_runs += is_first
         tally.crossed += target.region != self.region
 
 
 class ModelFleet:
-    """VMs and targets of all regions.
+    """The VMs and targets of all regions.
 
     Parameters
     ----------
     world : World
-    policy : PlacingPolicy
-    between_regions_s : float
-        Round trip between any two regions.
+    policy : PlacementPolicy
+    region_round_trip_s : float
+        Round-trip time between any two regions.
     """
 
-    def __init__(self, world: World, policy: PlacingPolicy, between_regions_s: float):
+    def __init__(
+        self, world: World, policy: PlacementPolicy, region_round_trip_s: float
+    ):
         self.world = world
         self.policy = policy
-        self.between_regions_s = between_regions_s
+        self.region_round_trip_s = region_round_trip_s
         self.tally = Tally()
         self.route = Route(
             name="route",
@@ -285,16 +305,16 @@
             for region in world.regions
             for number in range(world.vms_per_region)
         ]
-        self._numbers = itertools.count()
+        self._request_numbers = itertools.count()
 
     def round_trip_s(self, region: str, other: str) -> float:
-        """Return the round trip between two regions."""
-        return NEAR_ROUND_TRIP_S if region == other else self.between_regions_s
+        """Return the round-trip time between two regions."""
+        return LOCAL_ROUND_TRIP_S if region == other else self.region_round_trip_s
 
     def make_call(self, name: str) -> Call:
-        """Return a request for an object as the gateway sees it."""
+        """Return a request for an object, in the form that the gateway uses."""
         now = trio.current_time()
-        request_id = str(next(self._numbers))
+        request_id = str(next(self._request_numbers))
         return Call(
             head=RequestHead("POST", "/", []),
             request=CallerRequest(request_id, "host", "/", None, name, None),
@@ -308,7 +328,7 @@
         )
 
     async def run(self, load: float, seconds: float, seed: int):
-        """Play `load` requests a second, alike at all VMs."""
+        """Send `load` requests per second, distributed evenly over all VMs."""
         rng = random.Random(seed)
         for vm in self.vms:
             vm.placement.random.seed(seed)
--- a/packages/measure/plantainshed_measure/placing_policies.py
+++ b/packages/measure/plantainshed_measure/placing_policies.py
@@ -1,4 +1,4 @@
-"""Ways to place requests, by name."""
+"""The placement policies that an experiment compares."""
 
 import itertools
 from typing import Protocol
@@ -11,8 +11,8 @@
 from plantainshed_gateway.registry import Registry, TargetState
 
 
-class PlacingVm(Protocol):
-    """What a policy sees of a VM."""
+class PolicyVm(Protocol):
+    """The part of a VM that policies use."""
 
     placement: Placement
     registry: Registry
@@ -21,70 +21,73 @@
         """Return all targets as the VM sees them."""
 
 
-class Choose(Protocol):
-    """Returns the target that a request goes to, or None to refuse it."""
+class ChooseTarget(Protocol):
+    """Returns the target for a request, or None to refuse the request."""
 
-    def __call__(self, vm: PlacingVm, call: Call) -> TargetState | None:
-        """Choose for one request."""
+    def __call__(self, vm: PolicyVm, call: Call) -> TargetState | None:
+        """Choose a target for one request."""
 
 
 @frozen
-class PlacingPolicy:
-    """A way to place requests.
+class PlacementPolicy:
+    """A named way to choose targets for requests.
 
     Parameters
     ----------
     name : str
-    choose : Choose
+    choose : ChooseTarget
     """
 
     name: str
-    choose: Choose
+    choose: ChooseTarget
 
 
-def as_the_gateway(vm: PlacingVm, call: Call) -> TargetState | None:
-    """Place as the gateway does."""
+def choose_like_gateway(vm: PolicyVm, call: Call) -> TargetState | None:
+    """Choose a target with the gateway's own placement."""
     return vm.placement.choose(call, vm.registry.configuration, set(), [])
 
 
-def first_owner_in_fleet(vm: PlacingVm, call: Call) -> TargetState | None:
-    """Place an object on its first target of the whole fleet, however busy."""
+def choose_single_owner(vm: PolicyVm, call: Call) -> TargetState | None:
+    """Choose the object's owner among all targets of the fleet, regardless of its load.
+
+    The owner is the target with the highest rendezvous hashing score.
+    """
     name = call.request.affinity
     return max(
         vm.states(), key=lambda state: weighted_score(name, state.entry.instance, 1.0)
     )
 
 
-def least_loaded(vm: PlacingVm, call: Call) -> TargetState | None:
-    """Place on the target that is least busy, as far as this VM knows."""
-    noise = vm.placement.random.random
-    return min(vm.states(), key=lambda state: (state.occupancy, noise()))
+def choose_least_loaded(vm: PolicyVm, call: Call) -> TargetState | None:
+    """Choose the target with the lowest load that this VM knows of."""
+    tie_breaker = vm.placement.random.random
+    return min(vm.states(), key=lambda state: (state.occupancy, tie_breaker()))
 
 
-def at_random(vm: PlacingVm, call: Call) -> TargetState | None:
-    """Place on any target."""
+def choose_random(vm: PolicyVm, call: Call) -> TargetState | None:
+    """Choose a target at random."""
     return vm.placement.random.choice(vm.states())
 
 
 class RoundRobin:
-    """Places on targets in turn, whatever the object."""
+    """Chooses the targets in turn, regardless of the object."""
 
     def __init__(self):
-        self.turns = itertools.count()
+        self.counter = itertools.count()
 
-    def __call__(self, vm: PlacingVm, call: Call) -> TargetState | None:
+    def __call__(self, vm: PolicyVm, call: Call) -> TargetState | None:
         """Choose the next target."""
         states = vm.states()
-        return states[next(self.turns) % len(states)]
+        return states[next(self.counter) % len(states)]
 
 
-def policies() -> dict[str, PlacingPolicy]:
-    """Return all policies by name, fresh ones for each run."""
+def policies() -> dict[str, PlacementPolicy]:
+    """Return new instances of all policies, by name."""
     known = (
-        PlacingPolicy("chosen", as_the_gateway),
-        PlacingPolicy("one-owner", first_owner_in_fleet),
-        PlacingPolicy("least-loaded", least_loaded),
-        PlacingPolicy("random", at_random),
-        PlacingPolicy("round-robin", RoundRobin()),
+        PlacementPolicy("chosen", choose_like_gateway),
+        PlacementPolicy("one-owner", choose_single_owner),
+        PlacementPolicy("least-loaded", choose_least_loaded),
+        PlacementPolicy("random", choose_random),
+        PlacementPolicy("round-robin", RoundRobin()),
     )
     return {policy.name: policy for policy in known}
--- a/tests/measure/test_experiment.py
+++ b/tests/measure/test_experiment.py
@@ -2,7 +2,7 @@
 import unittest
 from pathlib import Path
 
-from plantainshed_measure.experiment import BadExperiment, play_all, read_experiment
+from plantainshed_measure.experiment import BadExperiment, read_experiment, simulate_all
 
 EXAMPLE = Path(__file__).parents[2] / "examples/experiments/far-regions.ini"
 
@@ -26,7 +26,7 @@
             seeds="1, 2",
             length="3s",
         )
-        rows = play_all(experiment, jobs=1)
+        rows = simulate_all(experiment, jobs=1)
         self.assertEqual(
             [(row["load"], row["policy"]) for row in rows],
             [(30, "chosen"), (30, "random"), (60, "chosen"), (60, "random")],
