--- a/packages/measure/plantainshed_measure/limits_checks.py
+++ b/packages/measure/plantainshed_measure/limits_checks.py
@@ -112,30 +112,30 @@
                 before.until = max(before.until, now - CHANGE_IN_FORCE_S)
 
 
-def fullest_window(record: RequestHistory, bounds: Bounds, name: str) -> Window | None:
+def fullest_window(history: RequestHistory, bounds: Bounds, name: str) -> Window | None:
     """Return the window of a workspace that used most of its tolerance."""
     admitted = sorted(
-        one.done_at for one in record.requests[name] if one.is_admitted and one.has_run
+        one.done_at for one in history.requests[name] if one.is_admitted and one.has_run
     )
     fullest = None
     first = 0
     for index, at in enumerate(admitted):
         while admitted[first] <= at - bounds.quota_window_s:
             first += 1
-        window = _make_window(record, bounds, name, at, index - first + 1)
+        window = _make_window(history, bounds, name, at, index - first + 1)
         if fullest is None or window.tolerance_used > fullest.tolerance_used:
             fullest = window
     return fullest
 
 
 def _make_window(
-    record: RequestHistory, bounds: Bounds, name: str, ends_at: float, count: int
+    history: RequestHistory, bounds: Bounds, name: str, ends_at: float, count: int
 ) -> Window:
     window_s = bounds.quota_window_s
     since = ends_at - window_s - CHANGE_IN_FORCE_S
     in_window = max(
         quota.workspace.rate_per_s * window_s + quota.workspace.burst
-        for quota in record.quotas[name]
+        for quota in history.quotas[name]
         if quota.since <= ends_at and quota.until >= since
     )
     tolerance = in_window * bounds.quota_over + bounds.quota_slack
@@ -144,7 +144,7 @@
 
 
 def count_wrongful_refusals(
-    record: RequestHistory, bounds: Bounds, name: str, period_at
+    history: RequestHistory, bounds: Bounds, name: str, period_at
 ) -> tuple[Counter, Counter]:
     """Count the requests sent within a workspace's rate, and the wrongful refusals.
 
@@ -162,9 +162,9 @@
         By `Period`.
     """
     within_rate, refused = Counter(), Counter()
-    sent = sorted(one.sent_at for one in record.requests[name])
-    for one in record.requests[name]:
-        if not _is_within_rate(record, bounds, name, sent, one.sent_at):
+    sent = sorted(one.sent_at for one in history.requests[name])
+    for one in history.requests[name]:
+        if not _is_within_rate(history, bounds, name, sent, one.sent_at):
             continue
         period = period_at(one.sent_at)
         within_rate[period] += 1
@@ -174,13 +174,13 @@
 
 
 def _is_within_rate(
-    record: RequestHistory, bounds: Bounds, name: str, sent: list[float], at: float
+    history: RequestHistory, bounds: Bounds, name: str, sent: list[float], at: float
 ) -> bool:
     window_s = bounds.quota_window_s
     count = bisect_right(sent, at) - bisect_left(sent, at - window_s)
     rate = min(
         quota.workspace.rate_per_s
-        for quota in record.quotas[name]
+        for quota in history.quotas[name]
         if quota.since <= at and quota.until >= at - window_s
     )
     return count <= rate * window_s
--- a/packages/measure/plantainshed_measure/limits_faults.py
+++ b/packages/measure/plantainshed_measure/limits_faults.py
@@ -184,10 +184,10 @@
 async def _one_way(fleet: ModelFleet, fault: Fault):
     """Block the datagrams from the affected VMs to all others, or the reverse."""
     ips = _fault_ips(fleet, fault)
-    is_mute = fault.variant < 0.5
+    blocks_outgoing = fault.variant < 0.5
 
     def is_blocked(sender, receiver):
-        if is_mute:
+        if blocks_outgoing:
             return sender in ips and receiver not in ips
         return receiver in ips and sender not in ips
 
--- a/packages/measure/plantainshed_measure/limits_model.py
+++ b/packages/measure/plantainshed_measure/limits_model.py
@@ -162,7 +162,7 @@
         outcome = RequestOutcome(
             sent_at, now, now - began_at, is_admitted, target_search_s is None
         )
-        self.fleet.record.requests[name].append(outcome)
+        self.fleet.history.requests[name].append(outcome)
         if target_search_s is not None:
             await trio.sleep(target_search_s)
             self.quotas.return_token(workspace, now)
@@ -257,7 +257,7 @@
     network : LimitsNetwork
     rng : random.Random
         Draws how long VM starts and configuration changes take.
-    record : RequestHistory
+    history : RequestHistory
     on_vm_created : callable
         Called with each VM before it runs; tests use it to inject a defect.
 
@@ -279,7 +279,7 @@
     bounds: Bounds
     network: LimitsNetwork
     rng: random.Random
-    record: RequestHistory
+    history: RequestHistory
     on_vm_created: Callable[[ModelVm], None] = lambda vm: None
     locations: dict[str, VmLocation] = field(factory=dict)
     listed: dict[str, VmLocation] = field(factory=dict)
@@ -349,7 +349,7 @@
         """Change a workspace's quota; each VM applies it after a random delay."""
         changed = evolve(self.workspaces[name], rate_per_s=rate_per_s, burst=burst)
         self.workspaces[name] = changed
-        self.record.record_quota(changed, trio.current_time())
+        self.history.record_quota(changed, trio.current_time())
         for vm in self.running.values():
             self.nursery.start_soon(self._apply_change, vm, changed)
 
@@ -359,4 +359,4 @@
         await vm.is_resumed.wait()
         newest = self.workspaces[changed.name]
         vm.update_workspace(newest)
-        self.record.record_late_change(changed, trio.current_time())
+        self.history.record_late_change(changed, trio.current_time())
--- a/packages/measure/plantainshed_measure/limits_search.py
+++ b/packages/measure/plantainshed_measure/limits_search.py
@@ -330,7 +330,7 @@
             nursery.start_soon(self.fleet.network.run)
             for workspace in draw_workspaces(self.rng):
                 self.fleet.workspaces[workspace.name] = workspace
-                self.fleet.record.record_quota(workspace, trio.current_time())
+                self.fleet.history.record_quota(workspace, trio.current_time())
             for location in self.locations:
                 nursery.start_soon(self._start_later, location)
             self._start_callers(nursery)
@@ -362,16 +362,16 @@
 
     def result(self) -> SimulationResult:
         """Return the result of the simulation."""
-        record, bounds = self.fleet.record, self.limits.bounds
+        history, bounds = self.fleet.history, self.limits.bounds
         windows, within_rate, refused = [], Counter(), Counter()
-        for name in record.requests:
-            window = fullest_window(record, bounds, name)
+        for name in history.requests:
+            window = fullest_window(history, bounds, name)
             if window is not None:
                 windows.append(window)
-            counts = count_wrongful_refusals(record, bounds, name, self._period_at)
+            counts = count_wrongful_refusals(history, bounds, name, self._period_at)
             within_rate.update(counts[0])
             refused.update(counts[1])
-        requests = sum(len(outcomes) for outcomes in record.requests.values())
+        requests = sum(len(outcomes) for outcomes in history.requests.values())
         return SimulationResult(self.case, windows, within_rate, refused, requests)
 
     def _period_at(self, moment: float) -> Period:
--- a/tests/measure/test_limits_model.py
+++ b/tests/measure/test_limits_model.py
@@ -25,13 +25,13 @@
 WORKSPACE = Workspace("comune", None, 10.0, 10.0)
 
 
-def record_of(times, workspace=WORKSPACE) -> RequestHistory:
-    record = RequestHistory()
-    record.record_quota(workspace, 0.0)
-    record.requests[workspace.name] = [
+def history_of(times, workspace=WORKSPACE) -> RequestHistory:
+    history = RequestHistory()
+    history.record_quota(workspace, 0.0)
+    history.requests[workspace.name] = [
         RequestOutcome(at, at, 0.0, True) for at in times
     ]
-    return record
+    return history
 
 
 class TestLimitsOfModels(unittest.TestCase):
@@ -104,32 +104,32 @@
     def test_windows_slide_continuously(self):
         """Guards against windows that start only at multiples of their length."""
         times = [3.0 + 0.04 * number for number in range(86)]
-        window = fullest_window(record_of(times), BOUNDS, "comune")
+        window = fullest_window(history_of(times), BOUNDS, "comune")
         self.assertEqual((window.count, window.exceeds_bound), (86, False))
-        window = fullest_window(record_of([*times, 7.9]), BOUNDS, "comune")
+        window = fullest_window(history_of([*times, 7.9]), BOUNDS, "comune")
         self.assertEqual((window.count, window.exceeds_bound), (87, True))
 
     def test_lowered_quota_applies_after_window_and_two_seconds(self):
         """Guards against a lowered quota that is never enforced by the check."""
         lowered = evolve(WORKSPACE, rate_per_s=1.0, burst=1.0)
         for at, is_over in ((16.9, False), (17.1, True)):
-            record = record_of([at - 0.01 * number for number in range(40)])
-            record.record_quota(lowered, 10.0)
-            window = fullest_window(record, BOUNDS, "comune")
+            history = history_of([at - 0.01 * number for number in range(40)])
+            history.record_quota(lowered, 10.0)
+            window = fullest_window(history, BOUNDS, "comune")
             self.assertEqual(window.exceeds_bound, is_over, at)
 
     def test_refusals_over_rate_are_not_wrongful(self):
         """Guards against counting refusals of a workspace over its rate as wrongful."""
-        record = record_of([])
+        history = history_of([])
         refused = [RequestOutcome(at, at, 0.0, False) for at in (0.1, 0.2)]
-        record.requests["comune"] = refused
+        history.requests["comune"] = refused
         within_rate, turned_away = count_wrongful_refusals(
-            record, BOUNDS, "comune", lambda at: "calm"
+            history, BOUNDS, "comune", lambda at: "calm"
         )
         self.assertEqual((within_rate["calm"], turned_away["calm"]), (2, 2))
-        record.requests["comune"] = refused * 26
+        history.requests["comune"] = refused * 26
         within_rate, turned_away = count_wrongful_refusals(
-            record, BOUNDS, "comune", lambda at: "calm"
+            history, BOUNDS, "comune", lambda at: "calm"
         )
         self.assertEqual((within_rate["calm"], turned_away["calm"]), (26, 26))
 
