--- a/tests/measure/test_experiment.py
+++ b/tests/measure/test_experiment.py
@@ -2,7 +2,7 @@
 import unittest
 from pathlib import Path
 
-from plantainshed_measure.experiment import BadExperiment, play_all, read_experiment
+from plantainshed_measure.experiment import BadExperiment, read_experiment, simulate_all
 
 EXAMPLE = Path(__file__).parents[2] / "examples/experiments/far-regions.ini"
 
@@ -18,7 +18,7 @@
             path.write_text("\n".join(lines))
             return read_experiment(path)
 
-    def test_one_row_for_each_combination(self):
+    def test_returns_one_row_for_each_combination(self):
         experiment = self.read(
             policies="chosen, random",
             round_trips="110ms",
@@ -26,15 +26,15 @@
             seeds="1, 2",
             length="3s",
         )
-        rows = play_all(experiment, jobs=1)
+        rows = simulate_all(experiment, jobs=1)
         self.assertEqual(
             [(row["load"], row["policy"]) for row in rows],
             [(30, "chosen"), (30, "random"), (60, "chosen"), (60, "random")],
         )
         self.assertTrue(all(0 < row["in_time"] <= 1 for row in rows))
 
-    def test_faults_of_a_file_are_told(self):
-        """Guards against a misspelt policy that is left out without a word."""
+    def test_invalid_values_raise_bad_experiment(self):
+        """Guards against a misspelt policy or invalid value that is ignored."""
         for changed in (
             {"policies": "chosen, best"},
             {"length": "30"},
