--- a/packages/entry/plantainshed_entry/admission.py
+++ b/packages/entry/plantainshed_entry/admission.py
@@ -98,7 +98,7 @@
             )
         self.metrics.offline_uses.inc({"workspace": workspace.name})
 
-    async def spend_rate(self, workspace: Workspace):
+    async def take_rate_token(self, workspace: Workspace):
         """Take one token from the workspace's rate limit, or raise `Refusal`."""
         if await self.limiter.take(WORKSPACE_PREFIX + workspace.name):
             return
--- a/packages/entry/plantainshed_entry/serving.py
+++ b/packages/entry/plantainshed_entry/serving.py
@@ -128,7 +128,7 @@
             exchange=exchange,
         )
         self.loads.count_arrival(pool.name, call.home_domain)
-        await self.admission.spend_rate(admitted.workspace)
+        await self.admission.take_rate_token(admitted.workspace)
         if _fits_in_buffer(head):
             call.body = await exchange.read_body(BUFFERED_BODY_BYTES)
         call.fingerprint = compute_fingerprint(
--- a/packages/measure/plantainshed_measure/replay.py
+++ b/packages/measure/plantainshed_measure/replay.py
@@ -89,13 +89,13 @@
     def start_watched(vm: str):
         start_vm(vm)
         admission = rig.vms[vm].node.admission
-        spend_rate = admission.spend_rate
+        take_rate_token = admission.take_rate_token
 
         async def spend(workspace):
-            await spend_rate(workspace)
+            await take_rate_token(workspace)
             tally.note_admission(workspace.name)
 
-        admission.spend_rate = spend
+        admission.take_rate_token = spend
 
     rig.start_vm = start_watched
 
--- a/tests/entry/test_internal_errors.py
+++ b/tests/entry/test_internal_errors.py
@@ -20,7 +20,9 @@
 class TestInternalErrors(unittest.TestCase):
     @on_real_clock
     async def test_error_before_the_answer(self):
-        fault = mock.patch.object(Admission, "spend_rate", side_effect=KeyError("x"))
+        fault = mock.patch.object(
+            Admission, "take_rate_token", side_effect=KeyError("x")
+        )
         async with self.other_requests_unaffected(fault) as running:
             head, body = await running.call(path="/prenota/2")
         self.assertEqual((head.status, body), (502, b"internal error\n"))
