--- a/packages/coordination/plantainshed_coordination/nurseries.py
+++ b/packages/coordination/plantainshed_coordination/nurseries.py
@@ -6,7 +6,7 @@
 
 
 @contextlib.asynccontextmanager
-async def open_plain_nursery():
+async def open_unwrapping_nursery():
     """Open a nursery that raises the first error itself, not an exception group.
 
     For functions that use a task internally while their callers catch plain
--- a/packages/entry/plantainshed_entry/daemon.py
+++ b/packages/entry/plantainshed_entry/daemon.py
@@ -12,7 +12,7 @@
 from plantainshed_coordination.addresses import split_address
 from plantainshed_coordination.control import ControlClient, serve_control
 from plantainshed_coordination.identity import Identity
-from plantainshed_coordination.nurseries import open_plain_nursery
+from plantainshed_coordination.nurseries import open_unwrapping_nursery
 from plantainshed_coordination.signals import open_signals
 from plantainshed_coordination.transport import DatagramTransport
 from plantainshed_http.platform_client import HttpPlatform
@@ -131,7 +131,7 @@
     stop, ready = trio.Event(), trio.Event()
     log = open_log(settings.vm, settings.log_level)
     with open_signals() as signals:
-        async with open_plain_nursery() as nursery:
+        async with open_unwrapping_nursery() as nursery:
             nursery.start_soon(_handle_signals, signals, stop, log)
             await run_daemon(settings, stop, ready)
             nursery.cancel_scope.cancel()
--- a/packages/entry/plantainshed_entry/relay.py
+++ b/packages/entry/plantainshed_entry/relay.py
@@ -12,7 +12,7 @@
 
 import trio
 
-from plantainshed_coordination.nurseries import open_plain_nursery
+from plantainshed_coordination.nurseries import open_unwrapping_nursery
 from plantainshed_http.client import ClientConnection
 from plantainshed_http.errors import (
     ConnectFailed,
@@ -150,7 +150,7 @@
         await connection.end_request()
 
     async def _stream_both_ways(self, call, state, connection):
-        async with open_plain_nursery() as nursery:
+        async with open_unwrapping_nursery() as nursery:
             nursery.start_soon(self._send_body, call, connection)
             head = await connection.response_head()
             await self._relay_response(call, state, connection, head)
--- a/packages/http/plantainshed_http/server.py
+++ b/packages/http/plantainshed_http/server.py
@@ -14,7 +14,7 @@
 import trio
 from attrs import define, field
 
-from plantainshed_coordination.nurseries import open_plain_nursery
+from plantainshed_coordination.nurseries import open_unwrapping_nursery
 
 from .errors import BadMessage, CallerDisconnected
 from .messages import (
@@ -257,7 +257,7 @@
 
     @contextlib.asynccontextmanager
     async def _run_disconnect_watcher(self):
-        async with open_plain_nursery() as nursery:
+        async with open_unwrapping_nursery() as nursery:
             nursery.start_soon(self._watch_for_disconnect)
             yield nursery
             nursery.cancel_scope.cancel()
--- a/packages/measure/plantainshed_measure/rig.py
+++ b/packages/measure/plantainshed_measure/rig.py
@@ -10,7 +10,7 @@
 
 from plantainshed_coordination.errors import PlatformUnavailable
 from plantainshed_coordination.identity import Identity
-from plantainshed_coordination.nurseries import open_plain_nursery
+from plantainshed_coordination.nurseries import open_unwrapping_nursery
 from plantainshed_coordination.platform import ListedVm
 from plantainshed_coordination.versioned import Change, DocumentStore
 from plantainshed_entry.context import Context
@@ -59,7 +59,7 @@
 
     async def _watch(self, arguments):
         """Wait for a change; a cut breaks the wait as it breaks a connection."""
-        async with open_plain_nursery() as nursery:
+        async with open_unwrapping_nursery() as nursery:
             nursery.start_soon(self._break_when_cut)
             stored = await self.rig.platform.wait_for_change(*arguments)
             nursery.cancel_scope.cancel()
