--- a/examples/embed_budget.py
+++ b/examples/embed_budget.py
@@ -29,7 +29,7 @@
     seeds = [SeedMember(name, "zone", name) for name in MEMBERS]
     record = MemberRecord(vm=vm, failure_domain="zone", incarnation=1, peer=vm)
     membership = Membership(peers.identity, peers, platform, seeds, record)
-    holdings = Holdings(peers, membership.is_awake)
+    holdings = Holdings(peers, membership.is_caught_up)
     holdings.set_specs([EMAILS])
     lending = Lending(peers, membership, holdings)
     shards = {
--- a/packages/coordination/plantainshed_coordination/holdings.py
+++ b/packages/coordination/plantainshed_coordination/holdings.py
@@ -53,8 +53,8 @@
     Parameters
     ----------
     network : PeerNetwork
-    is_awake : callable
-        Returns whether this run may act; see `Membership.is_awake`.
+    is_caught_up : callable
+        Returns whether this run may act; see `Membership.is_caught_up`.
 
     Attributes
     ----------
@@ -69,9 +69,9 @@
         not share a target with another such request.
     """
 
-    def __init__(self, network: PeerNetwork, is_awake: Callable[[], bool]):
+    def __init__(self, network: PeerNetwork, is_caught_up: Callable[[], bool]):
         self.network = network
-        self.is_awake = is_awake
+        self.is_caught_up = is_caught_up
         self.parts: dict[str, AnyPart] = {}
         self.known_version: dict[str, int] = {}
         self.applied_version: dict[str, int] = {}
@@ -233,7 +233,7 @@
         self.known_version[message.shard] = self.applied_version.get(message.shard, 0)
 
     async def _on_loan_request(self, sender, message: LoanRequest):
-        if not self.is_awake():
+        if not self.is_caught_up():
             return LoanGrant()
         part = self.parts.get(message.budget)
         if isinstance(part, RatePart):
--- a/packages/coordination/plantainshed_coordination/membership.py
+++ b/packages/coordination/plantainshed_coordination/membership.py
@@ -138,7 +138,7 @@
 
     # Queries.
 
-    def is_awake(self) -> bool:
+    def is_caught_up(self) -> bool:
         """Return whether this process can rely on its view of the fleet.
 
         After a pause, the view is as old as the last tick of the membership
--- a/packages/coordination/plantainshed_coordination/operations.py
+++ b/packages/coordination/plantainshed_coordination/operations.py
@@ -247,7 +247,7 @@
             operation = OperationId.parse(message.operation)
         except BadOperationId:
             return ClaimAnswer(verdict=Verdict.UNKNOWN)
-        if not self._is_own(operation) or not self.membership.is_awake():
+        if not self._is_own(operation) or not self.membership.is_caught_up():
             return ClaimAnswer(verdict=Verdict.UNKNOWN)
         claim = self._decide(operation, message.runner)
         return ClaimAnswer(verdict=claim.verdict, answer=claim.answer or b"")
--- a/packages/coordination/plantainshed_coordination/rebalancer.py
+++ b/packages/coordination/plantainshed_coordination/rebalancer.py
@@ -82,7 +82,7 @@
             nursery.start_soon(self._keep_lease, candidates)
             while True:
                 await trio.sleep(PERIOD_S)
-                if self.lease.is_held and self.membership.is_awake():
+                if self.lease.is_held and self.membership.is_caught_up():
                     await self._try_rebalance()
 
     async def _keep_lease(self, candidates):
--- a/packages/entry/plantainshed_entry/node.py
+++ b/packages/entry/plantainshed_entry/node.py
@@ -81,7 +81,7 @@
             _initial_record(context),
         )
         self.rumors = RumorBook(self.network, self.membership)
-        self.holdings = Holdings(self.network, self.membership.is_awake)
+        self.holdings = Holdings(self.network, self.membership.is_caught_up)
         self.lending = Lending(self.network, self.membership, self.holdings)
         shards = [*fleet_shards(), domain_shard(settings.failure_domain)]
         self.rebalancers = {shard: self._rebalancer(shard) for shard in shards}
@@ -194,7 +194,7 @@
         """Whether this VM accepts callers' requests."""
         return (
             self.membership.record.state == MemberState.READY
-            and self.membership.is_awake()
+            and self.membership.is_caught_up()
         )
 
     # Document and keys.
--- a/packages/entry/plantainshed_entry/serving.py
+++ b/packages/entry/plantainshed_entry/serving.py
@@ -101,8 +101,8 @@
 
     def _require_awake(self):
         # After a pause, this process's budget parts and withdrawn keys may be
-        # out of date; see `Membership.is_awake`.
-        if not self.membership.is_awake():
+        # out of date; see `Membership.is_caught_up`.
+        if not self.membership.is_caught_up():
             raise Refusal(
                 Reason.NOT_READY,
                 "this VM was paused and is refreshing its data",
--- a/tests/coordination/test_budget_faults.py
+++ b/tests/coordination/test_budget_faults.py
@@ -28,7 +28,7 @@
 
     async def ask(self, vm):
         parts = self.fleet.vms.get(vm)
-        if parts is None or not parts.membership.is_awake():
+        if parts is None or not parts.membership.is_caught_up():
             return
         if await parts.lending.take(WORKSPACE.name) and vm in self.fleet.vms:
             self.bucket.spend(trio.current_time())
--- a/tests/coordination/test_membership.py
+++ b/tests/coordination/test_membership.py
@@ -80,11 +80,11 @@
         async with fleet.running() as vms:
             await trio.sleep(5)
             view = vms["a-1"].membership
-            self.assertTrue(view.is_awake())
+            self.assertTrue(view.is_caught_up())
             view.last_tick -= PAUSE_THRESHOLD_S
-            self.assertFalse(view.is_awake())
+            self.assertFalse(view.is_caught_up())
             await trio.sleep(2)
-            self.assertTrue(view.is_awake())
+            self.assertTrue(view.is_caught_up())
 
     @on_mock_clock
     async def test_replaced_run_that_wakes_must_stop(self):
@@ -106,7 +106,7 @@
             beat = fleet.vms["a-2"].membership._heartbeat()
             await old.membership._on_heartbeat(None, beat)
             self.assertTrue(old.membership.superseded.is_set())
-            self.assertFalse(old.membership.is_awake())
+            self.assertFalse(old.membership.is_caught_up())
 
     @on_mock_clock
     async def test_run_with_a_clock_behind_takes_the_next_incarnation(self):
--- a/tests/support.py
+++ b/tests/support.py
@@ -79,7 +79,7 @@
         )
         self.membership.update_record(state=MemberState.READY, listen=vm)
         self.rumors = RumorBook(self.network, self.membership)
-        self.holdings = Holdings(self.network, self.membership.is_awake)
+        self.holdings = Holdings(self.network, self.membership.is_caught_up)
         self.holdings.set_specs(fleet.specs)
         self.lending = Lending(self.network, self.membership, self.holdings)
         self.operations = OperationRegistry(self.network, self.membership)
