--- a/packages/coordination/plantainshed_coordination/budgets.py
+++ b/packages/coordination/plantainshed_coordination/budgets.py
@@ -1,11 +1,11 @@
 """Budgets that many VMs share and never exceed together.
 
 Each VM holds a part of a budget, counted in units. There are two kinds of budgets: a
-*rate* budget is a token bucket, of which each VM holds a share; a *count* budget
-limits the number of slots in use at a time. The following rules ensure that the sum
-of all parts never exceeds the budget, whatever fails:
+*rate* budget is a token bucket, divided into `RATE_UNITS` units; a *count* budget
+limits the number of slots in use at a time, and each slot is one unit. The following
+rules ensure that the sum of all parts never exceeds the budget, whatever fails:
 
-- Only its holder can lower a part. A part is raised only after the matching
+- A part can be lowered only by its holder. A part is raised only after the matching
   reduction was acknowledged and written to the ledger (`rebalancer`).
 - A lender subtracts a loan before sending it. A borrowed token that does not arrive in
   time is lost, never duplicated. A borrower removes a token before returning it.
@@ -93,7 +93,7 @@
     amount : float
     expires_at : float
     grant : str
-        Identifier of the loan; a loan without one cannot be returned.
+        Id of the loan; a loan without an id cannot be returned.
     lender : str
         VM that lent the tokens.
     is_partly_used : bool
--- a/packages/coordination/plantainshed_coordination/count_loans.py
+++ b/packages/coordination/plantainshed_coordination/count_loans.py
@@ -26,7 +26,7 @@
     budget : str
         Count budget of the slot.
     grant : str
-        Identifier of the loan.
+        Id of the loan.
     """
 
     lender: str
@@ -43,7 +43,7 @@
     network : PeerNetwork
     membership : Membership
     next_grant_id : callable
-        Returns a new, unique loan identifier on each call.
+        Returns a new, unique loan id on each call.
     """
 
     def __init__(
@@ -67,15 +67,18 @@
                 nursery.start_soon(self._return, loan)
 
     async def borrow(
-        self, group: str, lenders: list[str], alone: bool = False
+        self, group: str, lenders: list[str], exclusive: bool = False
     ) -> BorrowedCount | None:
         """Borrow a slot from a group of count budgets, trying lenders in order.
 
-        With ``alone``, the slot's target must not serve another such request.
+        With ``exclusive``, the request is suspected of crashing targets, and the slot's
+        target must not run another such request at the same time.
         """
         for vm in lenders:
             grant_id = self.next_grant_id()
-            request = LoanRequest(budget=group, amount=1, grant=grant_id, alone=alone)
+            request = LoanRequest(
+                budget=group, amount=1, grant=grant_id, alone=exclusive
+            )
             member = self.membership.table.members.get(vm)
             if member is None:
                 continue
--- a/packages/coordination/plantainshed_coordination/count_part.py
+++ b/packages/coordination/plantainshed_coordination/count_part.py
@@ -15,9 +15,10 @@
         Number of slots that this VM may use or lend.
     in_use : int
     lent : dict of str to tuple of (str, int)
-        Borrower of each loan by grant, as VM and incarnation.
+        Borrower of each loan, as VM and incarnation, by the id of the loan (grant).
     exclusive_loans : set of str
-        Grants for requests that must not share a target with another such request.
+        Ids of the loans for requests suspected of crashing targets. A target must not
+        run two such requests at the same time.
     """
 
     def __init__(self, spec: BudgetSpec):
@@ -61,7 +62,7 @@
         self.in_use -= 1
 
     def lend(self, grant: str, borrower: tuple[str, int]) -> bool:
-        """Lend a slot; repeating a grant does not lend a second one."""
+        """Lend a slot; a repeated request for the same loan lends no second one."""
         if grant in self.lent:
             return True
         if grant in self.returned or self.free <= 0:
@@ -71,7 +72,10 @@
         return True
 
     def reclaim_loan(self, grant: str):
-        """End a loan and remember its grant, as a copy of the request may come late."""
+        """End a loan and remember its id.
+
+        A delayed copy of the loan request could otherwise start the loan again.
+        """
         self.lent.pop(grant, None)
         self.exclusive_loans.discard(grant)
         now = trio.current_time()
@@ -104,7 +108,7 @@
         self.units = units
 
     def estimate_demand(self) -> float:
-        """Return the number of slots that this VM could use, and decay the peak."""
+        """Return the number of slots that this VM needs, and decay the peak."""
         occupied = float(self.in_use + len(self.lent))
         demand = max(self.peak, occupied) + self.denied.read()
         self.peak = max(occupied, self.peak * 0.7)
--- a/packages/coordination/plantainshed_coordination/holdings.py
+++ b/packages/coordination/plantainshed_coordination/holdings.py
@@ -65,8 +65,9 @@
         ignored.
     choose_from_group : callable
         Takes the name of a group of count budgets and returns the budget to lend
-        from, or None. The second argument is whether the borrower's request must
-        not share a target with another such request.
+        from, or None. The second argument is whether the borrower's request is
+        suspected of crashing targets and must not share a target with another such
+        request.
     """
 
     def __init__(self, network: PeerNetwork, is_caught_up: Callable[[], bool]):
@@ -78,7 +79,7 @@
         self.rebalancer_by_shard: dict[str, str] = {}
         self.leaving = False
         self._pending_reductions: dict[str, PendingReduction] = {}
-        self.choose_from_group: GroupChoice = lambda name, alone: None
+        self.choose_from_group: GroupChoice = lambda name, exclusive: None
         network.handlers["loan_request"] = self._on_loan_request
         network.handlers["loan_return"] = self._on_loan_return
         network.handlers["lower_parts"] = self._on_lower_parts
--- a/packages/coordination/plantainshed_coordination/identity.py
+++ b/packages/coordination/plantainshed_coordination/identity.py
@@ -7,7 +7,7 @@
 
 @frozen
 class Identity:
-    """Identifies one process of the daemon on one VM.
+    """Identifies one run of the daemon on one VM, that is, one process.
 
     Parameters
     ----------
--- a/packages/coordination/plantainshed_coordination/lenders.py
+++ b/packages/coordination/plantainshed_coordination/lenders.py
@@ -12,8 +12,8 @@
 MIN_LOAN = 1e-3
 AVAILABILITY_TTL_S = 0.5
 # Failures further apart than this are counted separately, so a VM that did not answer
-# in time is asked again unless it also failed within this time and has not answered
-# since. Membership excludes VMs that are gone.
+# in time is asked again, unless it also failed within this time and has not answered
+# in between. `Membership` already excludes VMs that are gone.
 FAILURE_WINDOW_S = 2.0
 # Consecutive unanswered requests after which a VM is assumed to have no tokens for a
 # while. A VM that answers late is alive and may soon answer in time again, so it gets
--- a/packages/coordination/plantainshed_coordination/members.py
+++ b/packages/coordination/plantainshed_coordination/members.py
@@ -150,13 +150,17 @@
         return superseded or (vm, incarnation) in self.gone
 
     def is_reclaimable(self, vm: str, incarnation: int, now: float) -> bool:
-        """Return whether the holdings of an incarnation can go to other VMs.
+        """Return whether an incarnation's budget parts can be given to other VMs.
+
+        The platform or a later incarnation of the VM must confirm that the
+        incarnation has ended. It must also have been silent for a while, so that
+        a process that was only paused detects the pause when it resumes, and stops
+        before it uses its parts.
 
         An incarnation that the platform removed had already been silent for
         `SILENT_AFTER_S`. An incarnation that was replaced may only be paused and
-        may have been heard a moment ago. `REPLACED_GRACE_S` must pass first, so
-        that a paused process has been paused long enough to detect the pause
-        when it resumes, before it acts.
+        may have sent a heartbeat a moment ago, so `REPLACED_GRACE_S` must pass
+        first.
         """
         if (vm, incarnation) in self.gone:
             return True
--- a/packages/coordination/plantainshed_coordination/membership.py
+++ b/packages/coordination/plantainshed_coordination/membership.py
@@ -139,7 +139,7 @@
     # Queries.
 
     def is_caught_up(self) -> bool:
-        """Return whether this process can rely on its view of the fleet.
+        """Return whether this process may act on its view of the fleet.
 
         After a pause, the view is as old as the last tick of the membership
         task. Callers check this method before they act, because they may be
@@ -380,7 +380,7 @@
         """Clear `is_resuming` when a peer sends a message, or after a timeout.
 
         A process that is partitioned from all peers learns nothing by waiting
-        longer. It continues with its own shares of the budgets, which have not
+        longer. It continues with its own parts of the budgets, which have not
         been given to other VMs.
         """
         with trio.move_on_after(RESUME_TIMEOUT_S):
--- a/packages/coordination/plantainshed_coordination/platform.py
+++ b/packages/coordination/plantainshed_coordination/platform.py
@@ -2,7 +2,8 @@
 
 The store holds small values (up to `MAX_VALUE_BYTES`), each identified by a kind
 and a name. Each value has a version, and a write succeeds only if the version is
-still the one that the writer expects. A waiting watch counts as one call.
+still the one that the writer expects. A watch counts as one call, however long it
+waits.
 """
 
 from typing import Protocol
--- a/packages/coordination/plantainshed_coordination/rate_part.py
+++ b/packages/coordination/plantainshed_coordination/rate_part.py
@@ -28,7 +28,7 @@
     ----------
     spec : BudgetSpec
     units : int
-        Share of this VM, out of `RATE_UNITS`.
+        Size of this part. The whole budget has `RATE_UNITS` units.
     level : float
         Available tokens, borrowed ones excluded.
     demand : DemandMeter
@@ -45,7 +45,7 @@
 
     @property
     def share(self) -> float:
-        """This VM's share, from 0 to 1."""
+        """Fraction of the budget that this part is, from 0 to 1."""
         return self.units / RATE_UNITS
 
     @property
@@ -150,22 +150,22 @@
         return missing / (self.spec.rate * self.share)
 
     def set_units(self, units: int, level: float = 0.0):
-        """Change the share and add ``level`` tokens."""
+        """Change the size of the part and add ``level`` tokens."""
         self.refill()
         self.units = units
         self.level = min(self.capacity, self.level + level)
 
     def set_spec(self, spec: BudgetSpec):
-        """Change the rate and burst; the share stays the same."""
+        """Change the rate and burst; the part keeps its units."""
         self.refill()
         self.spec = spec
         self.level = min(self.level, self.capacity)
 
     def lower_to(self, units: int) -> LowerResult:
-        """Lower the share and release the tokens above the new capacity.
+        """Lower the part and release the tokens above the new capacity.
 
-        The share that covers tokens on loan is kept until the loan expires. If it
-        were given up earlier, the ledger could assign it to another VM while the
+        The units that cover tokens on loan are kept until the loan expires. If they
+        were given up earlier, the ledger could assign them to another VM while the
         borrower still uses the tokens.
         """
         self.refill()
@@ -179,7 +179,7 @@
         return LowerResult(units, before - self.level)
 
     def restore(self, units: int, level: float):
-        """Undo `lower_to`: set the share back and add the released tokens."""
+        """Undo `lower_to`: set the units back and add the released tokens."""
         self.set_units(units, level)
 
     def estimate_demand(self) -> float:
--- a/packages/coordination/plantainshed_coordination/rebalance_plan.py
+++ b/packages/coordination/plantainshed_coordination/rebalance_plan.py
@@ -53,7 +53,7 @@
 
     Attributes
     ----------
-    reports : dict of str to HeardReport
+    reports : dict of str to ReceivedReport
         By holder.
     """
 
@@ -88,14 +88,14 @@
         return desired_parts
 
     def current_parts(self, name: str, entry: LedgerEntry) -> dict[str, int]:
-        """Return a budget's parts, without those of VM runs that have ended.
+        """Return a budget's parts, without those that can be reclaimed.
 
-        For a run that is leaving, the part is limited to the units that it has
-        reported to keep until its last request ends.
+        A run that is leaving keeps only the units that it last reported. It uses them
+        until its last request ends.
         """
         current_parts = {}
         for holder, units in entry.parts.items():
-            if self.has_holder_ended(holder):
+            if self.is_reclaimable(holder):
                 continue
             received = self.reports.get(holder)
             if received is not None and received.report.leaving:
@@ -112,7 +112,7 @@
             for holder, received in self.reports.items()
             if trio.current_time() - received.received_at < REPORT_TTL_S
             and not received.report.leaving
-            and not self.has_holder_ended(holder)
+            and not self.is_reclaimable(holder)
         ]
         if spec.failure_domain:
             in_domain = [
@@ -126,12 +126,10 @@
     def _demand_of(self, holder: str, spec: BudgetSpec) -> float:
         return self.reports[holder].demands.get(spec.name, 0.0)
 
-    def has_holder_ended(self, holder: str) -> bool:
-        """Return whether a holder's part can be given to others.
+    def is_reclaimable(self, holder: str) -> bool:
+        """Return whether a holder's parts can be given to other VMs.
 
-        The platform or a newer run of the same VM must confirm that the run has
-        ended. The run must also have been silent for a while, so that if it was only
-        paused, it detects this when it resumes, and stops.
+        See `MemberTable.is_reclaimable` for the conditions.
         """
         now = trio.current_time()
         return self.membership.table.is_reclaimable(*split_holder(holder), now)
@@ -160,7 +158,7 @@
             if entry is None:
                 continue
             for holder, units in entry.parts.items():
-                if not self.has_holder_ended(holder) and desired.get(holder, 0) < units:
+                if not self.is_reclaimable(holder) and desired.get(holder, 0) < units:
                     yield Reduction(holder, name, desired.get(holder, 0))
 
     def next_entry(
--- a/packages/coordination/plantainshed_coordination/rebalancer.py
+++ b/packages/coordination/plantainshed_coordination/rebalancer.py
@@ -254,7 +254,7 @@
         self.writes += 1
         self.transferred_tokens = transferred_tokens
         for holder in list(self.plan.reports):
-            if self.plan.has_holder_ended(holder):
+            if self.plan.is_reclaimable(holder):
                 continue
             vm, incarnation = split_holder(holder)
             message = self._parts_message(self.ledger, holder)
--- a/packages/coordination/plantainshed_coordination/rumors.py
+++ b/packages/coordination/plantainshed_coordination/rumors.py
@@ -36,7 +36,7 @@
 
 
 @define
-class HeardRumor:
+class ReceivedRumor:
     """A rumor as received by this VM.
 
     Parameters
@@ -61,7 +61,7 @@
 
     Attributes
     ----------
-    heard : dict of RumorKey to HeardRumor
+    heard : dict of RumorKey to ReceivedRumor
     listeners : dict of str to callable
         By topic; called with the name and the rumor when a rumor is new.
     """
@@ -69,8 +69,8 @@
     def __init__(self, network: PeerNetwork, membership: Membership):
         self.network = network
         self.membership = membership
-        self.heard: dict[RumorKey, HeardRumor] = {}
-        self.listeners: dict[str, Callable[[str, HeardRumor], None]] = {}
+        self.heard: dict[RumorKey, ReceivedRumor] = {}
+        self.listeners: dict[str, Callable[[str, ReceivedRumor], None]] = {}
         self._digest = 0
         self._spread_sender, self._spread_receiver = trio.open_memory_channel(math.inf)
         network.handlers["rumors"] = self._on_rumors
@@ -92,13 +92,13 @@
         stamp = known.stamp + 1 if known and ttl_s != FOREVER else 1
         expires_at = trio.current_time() + ttl_s
         origin = self.membership.identity.vm
-        return self._merge(key, HeardRumor(stamp, value, expires_at, origin))
+        return self._merge(key, ReceivedRumor(stamp, value, expires_at, origin))
 
     def knows(self, topic: str, name: str) -> bool:
         """Return whether an unexpired rumor is known."""
         return self.find(topic, name) is not None
 
-    def find(self, topic: str, name: str) -> HeardRumor | None:
+    def find(self, topic: str, name: str) -> ReceivedRumor | None:
         """Return a rumor, or None if it is unknown or has expired."""
         rumor = self.heard.get(RumorKey(topic, name))
         if rumor is None or rumor.expires_at <= trio.current_time():
@@ -125,7 +125,7 @@
         """Digest of all permanent rumors, independent of their order."""
         return self._digest
 
-    def _merge(self, key: RumorKey, rumor: HeardRumor) -> bool:
+    def _merge(self, key: RumorKey, rumor: ReceivedRumor) -> bool:
         known = self.heard.get(key)
         if known is not None and rumor.stamp <= known.stamp:
             return False
@@ -184,7 +184,7 @@
         for item in message.rumors:
             self._merge(
                 RumorKey(item.topic, item.name),
-                HeardRumor(item.stamp, item.value, now + item.ttl_s, item.origin),
+                ReceivedRumor(item.stamp, item.value, now + item.ttl_s, item.origin),
             )
 
     async def _repair(self):
--- a/packages/entry/plantainshed_entry/admission.py
+++ b/packages/entry/plantainshed_entry/admission.py
@@ -49,8 +49,8 @@
     Attributes
     ----------
     in_force : IndexedDocument
-    outside_heard_at : float
-        When this failure domain last received anything from outside.
+    outside_contact_at : float
+        When this failure domain was last in contact with another one or the store.
     """
 
     def __init__(self, rumors: RumorBook, limiter: RateLimiter, metrics: Metrics):
@@ -58,7 +58,7 @@
         self.limiter = limiter
         self.metrics = metrics
         self.in_force: IndexedDocument | None = None
-        self.outside_heard_at = trio.current_time()
+        self.outside_contact_at = trio.current_time()
 
     def authenticate(self, head: RequestHead) -> Admitted:
         """Return the workspace and key of a request, or raise `Refusal`."""
@@ -86,7 +86,7 @@
     def _check_offline_limit(self, workspace: Workspace):
         # A failure domain that is cut off does not learn of withdrawn keys. Its
         # keys stay valid only for the time that the document allows.
-        silence_s = trio.current_time() - self.outside_heard_at
+        silence_s = trio.current_time() - self.outside_contact_at
         if silence_s < OFFLINE_AFTER_S:
             return
         if silence_s > workspace.offline_limit_s:
--- a/packages/entry/plantainshed_entry/attempts.py
+++ b/packages/entry/plantainshed_entry/attempts.py
@@ -85,7 +85,7 @@
         if self.poison.is_blocked(call.fingerprint):
             raise Refusal(
                 Reason.POISON,
-                "targets died while they ran this same request; it is stopped for now",
+                "targets crashed while they ran this request; it is refused for now",
                 retry_after_s=POISON_RETRY_AFTER_S,
             )
 
--- a/packages/entry/plantainshed_entry/commands.py
+++ b/packages/entry/plantainshed_entry/commands.py
@@ -36,7 +36,9 @@
     async def handle(self, request: ControlRequest) -> ControlReply:
         """Execute one command."""
         if not hmac.compare_digest(request.credential.encode(), self.credential):
-            return ControlReply(message="the credential is not this fleet's")
+            return ControlReply(
+                message="the credential does not match the fleet's secret"
+            )
         command = self.handlers.get(request.command)
         if command is None:
             known = ", ".join(self.handlers)
--- a/packages/entry/plantainshed_entry/lookup.py
+++ b/packages/entry/plantainshed_entry/lookup.py
@@ -123,7 +123,9 @@
                 break
         if not entries:
             raise Refusal(
-                Reason.NOT_READY, "no entry VM takes callers now", retry_after_s=1.0
+                Reason.NOT_READY,
+                "no entry VM accepts callers at present",
+                retry_after_s=1.0,
             )
         return LookupAnswer(
             tuple(entries[:MAX_ENTRIES]), TTL_S, self.in_force.revision.version
--- a/packages/entry/plantainshed_entry/node.py
+++ b/packages/entry/plantainshed_entry/node.py
@@ -27,8 +27,8 @@
 from .admission import KEY_WITHDRAWN_TOPIC, Admission, RateLimiter
 from .attempts import Attempts, Relay
 from .context import Context
-from .domain_news import HeartbeatExtra
 from .facts import RunStatistics
+from .heartbeat_extra import HeartbeatExtra
 from .in_force import budget_specs, empty_indexed_document, index_document
 from .loads import DomainLoad, LoadTracker
 from .lookup import TTL_S, Lookup
@@ -237,7 +237,7 @@
 
     def _make_heartbeat_extra(self) -> bytes:
         load = self.loads.own_load({})
-        silence_s = trio.current_time() - self.admission.outside_heard_at
+        silence_s = trio.current_time() - self.admission.outside_contact_at
         return HeartbeatExtra(
             load, self.probing.results, max(0.0, silence_s)
         ).to_bytes()
@@ -264,7 +264,7 @@
         self._record_outside_contact(self.follower.store_heard_at)
 
     def _record_outside_contact(self, at: float):
-        self.admission.outside_heard_at = max(self.admission.outside_heard_at, at)
+        self.admission.outside_contact_at = max(self.admission.outside_contact_at, at)
 
     # Stopping.
 
--- a/packages/entry/plantainshed_entry/plan.py
+++ b/packages/entry/plantainshed_entry/plan.py
@@ -134,9 +134,9 @@
         for source in sources:
             for destination in destinations:
                 rate = moved * source.demand / demand * destination.capacity / capacity
-                given = link_capacity.allocate(_pair(source, destination), rate)
-                given = domain_capacity.allocate(destination.name, given)
-                _assign(rates, unassigned, source.name, destination.name, given)
+                allocated = link_capacity.allocate(_pair(source, destination), rate)
+                allocated = domain_capacity.allocate(destination.name, allocated)
+                _assign(rates, unassigned, source.name, destination.name, allocated)
 
 
 def _assign_overflow(
--- a/packages/entry/plantainshed_entry/poison.py
+++ b/packages/entry/plantainshed_entry/poison.py
@@ -11,7 +11,7 @@
 import trio
 import xxhash
 
-from plantainshed_coordination.rumors import HeardRumor, RumorBook
+from plantainshed_coordination.rumors import ReceivedRumor, RumorBook
 
 CRASH_TOPIC = "crash-mark"
 CLEAR_TOPIC = "crash-clear"
@@ -101,9 +101,9 @@
             del self.crashes[fingerprint]
         return recent
 
-    def _on_crash(self, name: str, rumor: HeardRumor):
+    def _on_crash(self, name: str, rumor: ReceivedRumor):
         fingerprint, isolation, target = name.split(SEPARATOR)
         self.crashes.setdefault(fingerprint, {})[isolation, target] = rumor.expires_at
 
-    def _on_clear(self, name: str, rumor: HeardRumor):
+    def _on_clear(self, name: str, rumor: ReceivedRumor):
         self.crashes.pop(name, None)
--- a/packages/entry/plantainshed_entry/relay.py
+++ b/packages/entry/plantainshed_entry/relay.py
@@ -98,7 +98,7 @@
             return await ClientConnection.open(address, CONNECT_TIMEOUT_S)
         except ConnectFailed as error:
             raise AttemptFailed(
-                f"target {state.target.name} accepts no connection: {error}",
+                f"cannot connect to target {state.target.name}: {error}",
                 Outcome.NOT_RUN,
             ) from error
 
@@ -139,7 +139,7 @@
             raise Refusal(Reason.BAD_REQUEST, error.reason) from error
         except ConnectionBroken as error:
             raise AttemptFailed(
-                f"target {state.target.name} broke off: {error}",
+                f"the connection to target {state.target.name} broke: {error}",
                 Outcome.UNKNOWN if connection.send_started else Outcome.NOT_RUN,
                 crashed=connection.send_started,
             ) from error
--- a/packages/entry/plantainshed_entry/routing.py
+++ b/packages/entry/plantainshed_entry/routing.py
@@ -1,7 +1,7 @@
 """Routing of requests to targets with a free slot, nearest first.
 
-Own slots are tried first, then slots borrowed from VMs of the own failure domain,
-of the own region and of other regions. A request that gets no slot waits briefly in
+The VM first tries its own slots, then borrows slots from VMs of its failure domain,
+of its region and of other regions. A request that gets no slot waits briefly in
 a queue. If it still gets none, it is refused with the outcome "not run".
 """
 
@@ -200,7 +200,7 @@
     def choose_slots_to_lend(self, group: str, exclusive: bool = False) -> str | None:
         """Return the name of the budget to lend a slot from, or None.
 
-        Nothing is lent while requests of own callers wait in the queue.
+        Nothing is lent while requests of this VM's callers wait in the queue.
         """
         pool = group.removeprefix(POOL_PREFIX)
         queue = self.queues.get(pool)
--- a/packages/entry/plantainshed_entry/serving.py
+++ b/packages/entry/plantainshed_entry/serving.py
@@ -92,14 +92,14 @@
         """Answer one request with a target's response or with a refusal."""
         call = None
         try:
-            self._require_awake()
+            self._require_caught_up()
             call = await self._read_call(exchange)
             with self._registered(call):
                 await self._run_within_deadline(call)
         except Refusal as refusal:
             await self._refuse(exchange, call, refusal)
 
-    def _require_awake(self):
+    def _require_caught_up(self):
         # After a pause, this process's budget parts and withdrawn keys may be
         # out of date; see `Membership.is_caught_up`.
         if not self.membership.is_caught_up():
--- a/packages/entry/plantainshed_entry/targets.py
+++ b/packages/entry/plantainshed_entry/targets.py
@@ -54,7 +54,7 @@
     Attributes
     ----------
     part : CountPart or None
-        This VM's share of the target's slots.
+        This VM's part of the target's slots.
     failures : int
         Consecutive requests that failed because of the target.
     ejected_until : float
--- a/packages/http/plantainshed_http/client.py
+++ b/packages/http/plantainshed_http/client.py
@@ -98,7 +98,9 @@
                 headers = [(bytes(k), bytes(v)) for k, v in event.headers]
                 return ResponseHead(event.status_code, headers)
             if not isinstance(event, h11.InformationalResponse):
-                raise ConnectionBroken(f"{self.address} closed before it answered")
+                raise ConnectionBroken(
+                    f"{self.address} closed the connection before it answered"
+                )
 
     async def response_body(self) -> AsyncIterator[bytes]:
         """Yield the body of the response in chunks."""
@@ -109,7 +111,9 @@
             elif isinstance(event, h11.EndOfMessage):
                 return
             else:
-                raise ConnectionBroken(f"{self.address} closed in the middle")
+                raise ConnectionBroken(
+                    f"{self.address} closed the connection during its answer"
+                )
 
     def skip_response(self):
         """Discard the response just read and expect another one.
@@ -196,7 +200,11 @@
             try:
                 event = self.h11.next_event()
             except h11.RemoteProtocolError as error:
-                problem = "closed before its answer ended" if closed else str(error)
+                problem = (
+                    "connection closed before the answer ended"
+                    if closed
+                    else str(error)
+                )
                 raise ConnectionBroken(f"{self.address}: {problem}") from error
             if event is not h11.NEED_DATA:
                 return event
--- a/packages/http/plantainshed_http/server.py
+++ b/packages/http/plantainshed_http/server.py
@@ -200,7 +200,7 @@
         async for part in self.body():
             size += len(part)
             if size > limit:
-                raise BadMessage(413, f"the body may have {limit} bytes at most")
+                raise BadMessage(413, f"the body exceeds the limit of {limit} bytes")
             parts.append(part)
         return b"".join(parts)
 
@@ -469,11 +469,11 @@
         # Guard against request smuggling: two servers that use different headers
         # disagree on where the request ends, and the rest of its body would be
         # read as another caller's request.
-        raise BadMessage(400, "a request has Transfer-Encoding or Content-Length")
+        raise BadMessage(400, "Transfer-Encoding and Content-Length exclude each other")
     if names.count(b"host") > 1:
-        raise BadMessage(400, "a request has one Host header")
+        raise BadMessage(400, "a request must not have more than one Host header")
     if event.method == b"CONNECT":
-        raise BadMessage(405, "CONNECT is not offered here")
+        raise BadMessage(405, "the method CONNECT is not supported")
     target = event.target.decode("latin-1")
     if not target.startswith("/"):
         raise BadMessage(400, f"the request target {target!r} must start with '/'")
--- a/packages/operator/plantainshed/cli/fleet_commands.py
+++ b/packages/operator/plantainshed/cli/fleet_commands.py
@@ -51,7 +51,9 @@
         if withdrawal.notified_control:
             print(f"{key_id}: withdrawn; spreading from {withdrawal.notified_control}")
         else:
-            print(f"{key_id}: no VM could be told; they learn it from the document")
+            print(
+                f"{key_id}: no VM could be reached; VMs learn of it from the document"
+            )
         if version:
             print(f"recorded in version {version}")
         else:
--- a/packages/operator/plantainshed/console/actions.py
+++ b/packages/operator/plantainshed/console/actions.py
@@ -96,7 +96,7 @@
     notified = (
         f"spreading from {withdrawal.notified_control}"
         if withdrawal.notified_control
-        else "no VM could be told yet"
+        else "no VM could be reached yet"
     )
     recorded = (
         f"recorded in version {withdrawal.revision.version}"
--- a/packages/operator/plantainshed/demo/deployment.py
+++ b/packages/operator/plantainshed/demo/deployment.py
@@ -69,7 +69,7 @@
 
 
 def free_address() -> str:
-    """Return a loopback address whose TCP and UDP port is free and not taken soon.
+    """Return a loopback address with a port that is free for both TCP and UDP.
 
     Ports assigned by the operating system are not suitable: before the caller binds
     such a port, the system may assign it to an outgoing connection.
--- a/tests/operator/test_cli.py
+++ b/tests/operator/test_cli.py
@@ -106,7 +106,7 @@
         self.assertIn(issued["key_id"], listed)
         self.assertNotIn(issued["key"], listed)
         output = self.run_command("key", "withdraw", issued["key_id"])
-        self.assertIn("no VM could be told", output)
+        self.assertIn("no VM could be reached", output)
         self.assertIn("withdrawn", self.run_command("key", "list"))
 
     def test_numeric_names_are_parsed_as_text(self):
@@ -148,7 +148,7 @@
         self.assertIn("all VMs", facts["unknown"][0])
         self.assertEqual(facts["changes"][0]["reason"], "first")
         page = self.run_command("report", "--format=html")
-        self.assertIn("Not known", page)
+        self.assertIn("Unknown:", page)
 
     def test_status_fails_if_no_vm_is_reachable(self):
         with self.assertRaises(Unreachable):
--- a/tests/operator/test_console.py
+++ b/tests/operator/test_console.py
@@ -189,4 +189,4 @@
             self.assertEqual(await browser.get("/"), 200)
             self.assertIn("no entry VM could be asked", browser.page)
             self.assertEqual(await browser.get("/report"), 200)
-            self.assertIn("Not known", browser.page)
+            self.assertIn("Unknown:", browser.page)
