--- a/tests/coordination/test_budget_faults.py
+++ b/tests/coordination/test_budget_faults.py
@@ -24,7 +24,7 @@
         self.fleet = MemoryFleet(FOUR_VMS, seed=seed)
         self.chooser = random.Random(seed)
         self.bucket = ReferenceBucket(WORKSPACE.rate, WORKSPACE.burst)
-        self.most_units = 0
+        self.max_units = 0
 
     async def ask(self, vm):
         parts = self.fleet.vms.get(vm)
@@ -49,7 +49,7 @@
             weights = [9 if i == favourite else 1 for i in range(4)]
             vm = self.chooser.choices([vm for vm, _ in FOUR_VMS], weights)[0]
             nursery.start_soon(self.ask, vm)
-            self.most_units = max(self.most_units, self.fleet.units())
+            self.max_units = max(self.max_units, self.fleet.units())
 
     async def cause(self, fault):
         network, platform = self.fleet.network.faults, self.fleet.platform
@@ -88,7 +88,7 @@
 class TestBudgetUnderFaults(unittest.TestCase):
     @given(st.lists(st.sampled_from(FAULTS), max_size=8), st.integers(0, 10_000))
     @settings(max_examples=25, derandomize=True, deadline=None)
-    def test_fleet_never_gives_more_than_one_bucket_would(self, faults, seed):
+    def test_fleet_never_exceeds_the_budget(self, faults, seed):
         async def body():
             faulty = FaultyFleet(seed)
             async with faulty.fleet.running(), trio.open_nursery() as nursery:
@@ -101,6 +101,6 @@
                 await trio.sleep(STEP_S)
                 nursery.cancel_scope.cancel()
             self.assertLess(faulty.bucket.deepest, 1e-6)
-            self.assertLessEqual(faulty.most_units, RATE_UNITS)
+            self.assertLessEqual(faulty.max_units, RATE_UNITS)
 
         run_deterministically(body, seed=seed)
--- a/tests/coordination/test_budgets.py
+++ b/tests/coordination/test_budgets.py
@@ -64,7 +64,7 @@
         self.assertFalse(borrower.try_take())
 
     @on_mock_clock
-    async def test_share_on_loan_cannot_be_given_up(self):
+    async def test_units_that_cover_a_loan_cannot_be_given_up(self):
         """Guards against exceeding a rate by the tokens that are on loan.
 
         A part lends tokens and is then lowered to 0. Its share would go to another VM
@@ -95,7 +95,7 @@
         self.assertFalse(part.try_take())
 
     @on_mock_clock
-    async def test_repeated_grant_lends_one(self):
+    async def test_repeated_loan_request_lends_one_slot(self):
         part = CountPart(self.spec)
         part.set_units(2)
         part.lend("g1", ("b-1", 1))
--- a/tests/coordination/test_division.py
+++ b/tests/coordination/test_division.py
@@ -16,12 +16,12 @@
         ),
     )
     @settings(max_examples=200, derandomize=True, deadline=None)
-    def test_parts_sum_to_the_whole(self, units, wanted):
-        parts = divide(units, wanted)
+    def test_parts_sum_to_the_whole(self, units, demands):
+        parts = divide(units, demands)
         self.assertEqual(sum(parts.values()), units)
         self.assertTrue(all(part >= 0 for part in parts.values()))
 
-    def test_follows_what_is_wanted(self):
+    def test_divides_in_proportion_to_demand(self):
         parts = divide(1000, {"a": 90.0, "b": 10.0, "c": 0.0}, equal_share=0.3)
         self.assertEqual(parts, {"a": 730, "b": 170, "c": 100})
 
--- a/tests/coordination/test_follower.py
+++ b/tests/coordination/test_follower.py
@@ -54,7 +54,7 @@
 
 class TestDocumentFollower(unittest.TestCase):
     @on_mock_clock
-    async def test_reaches_everybody_within_seconds(self):
+    async def test_change_reaches_every_vm_within_seconds(self):
         following = FollowerFleet()
         async with following.fleet.running() as vms:
             for vm in vms:
@@ -65,7 +65,7 @@
             self.assertEqual(set(following.versions().values()), {1})
 
     @on_mock_clock
-    async def test_fresh_vm_starts_from_a_peer_while_the_store_is_down(self):
+    async def test_new_vm_loads_from_a_peer_while_the_store_is_down(self):
         """Guards against a VM replaced during a store outage not serving callers."""
         following = FollowerFleet()
         async with following.fleet.running() as vms:
@@ -81,7 +81,7 @@
             self.assertEqual(following.versions()["a-2"], 1)
 
     @on_mock_clock
-    async def test_never_goes_back(self):
+    async def test_version_never_decreases(self):
         following = FollowerFleet()
         async with following.fleet.running() as vms:
             for vm in vms:
@@ -98,7 +98,7 @@
                 self.assertEqual(versions[-1], 6)
 
     @on_mock_clock
-    async def test_version_that_is_not_valid_leaves_the_old_one(self):
+    async def test_invalid_version_is_not_installed(self):
         """Guards against an invalid document taking down the fleet.
 
         A document that no validation has checked is written to the store. Each
@@ -120,7 +120,7 @@
             self.assertEqual(set(following.versions().values()), {3})
 
     @on_mock_clock
-    async def test_frozen_peer_keeps_no_other_from_being_asked(self):
+    async def test_hung_peer_does_not_delay_fetches_from_others(self):
         """Guards against a hung peer delaying a version that other peers have.
 
         Before the fix, the version arrived 5 s late, the duration of one call.
@@ -139,7 +139,7 @@
             self.assertEqual(set(following.versions().values()), {1})
 
     @on_mock_clock
-    async def test_version_whose_segments_could_not_be_read_is_read_again(self):
+    async def test_version_is_retried_after_unreadable_segments(self):
         """Guards against skipping a version because of a short outage.
 
         Segments of a version could not be read, and the version was not
@@ -160,7 +160,7 @@
             self.assertEqual(set(following.versions().values()), {1})
 
     @on_mock_clock
-    async def test_version_is_found_though_no_watch_is_answered(self):
+    async def test_polling_finds_a_version_if_no_watch_is_answered(self):
         """Guards against keeping an old document for as long as a watch waits.
 
         The store never answers the watches, so only polls find the new version.
@@ -181,7 +181,7 @@
             self.assertLessEqual(platform.root_reads, 60 / STORE_POLL_S * WATCHERS * 2)
 
     @on_mock_clock
-    async def test_quiet_store_that_answers_is_not_silent(self):
+    async def test_store_without_changes_is_not_silent(self):
         """Guards against reporting a healthy store without changes as silent.
 
         After 75 s without a change, the store counted as silent, which opened an
@@ -198,7 +198,7 @@
             self.assertLessEqual(silence_s, STORE_POLL_S + 1)
 
     @on_mock_clock
-    async def test_domain_cut_off_from_the_store_hears_from_others(self):
+    async def test_domain_cut_off_from_the_store_fetches_from_others(self):
         following = FollowerFleet()
         async with following.fleet.running() as vms:
             for vm in vms:
@@ -217,11 +217,11 @@
 
     def __init__(self, bulk):
         self.bulk = bulk
-        self.frozen = ""
+        self.hung_peer = ""
 
     async def fetch(self, address, name):
-        self.frozen = self.frozen or address
-        if address == self.frozen:
+        self.hung_peer = self.hung_peer or address
+        if address == self.hung_peer:
             await trio.sleep(5.0)
             raise PeerTimeout("no answer")
         return await self.bulk.fetch(address, name)
--- a/tests/coordination/test_leases.py
+++ b/tests/coordination/test_leases.py
@@ -18,7 +18,7 @@
         self.assertFalse(await second.try_hold())
 
     @on_mock_clock
-    async def test_lapses_when_its_holder_stops_renewing(self):
+    async def test_expires_when_the_holder_stops_renewing(self):
         platform = MemoryPlatform()
         first, second = (Lease(platform, "x", name) for name in ("a~1", "b~1"))
         await first.try_hold()
@@ -28,7 +28,7 @@
         self.assertTrue(await second.try_hold())
 
     @on_mock_clock
-    async def test_paused_holder_finds_that_it_lost_it(self):
+    async def test_paused_holder_loses_the_lease(self):
         """Guards against two VMs acting as rebalancer at the same time.
 
         The holder is paused for longer than the time to live, another VM
@@ -45,7 +45,7 @@
         self.assertTrue(second.is_held)
 
     @on_mock_clock
-    async def test_is_not_believed_longer_than_others_wait(self):
+    async def test_ttl_counts_from_the_start_of_a_renewal(self):
         """Guards against two VMs holding the lease after a slow renewal.
 
         The store applies the renewal at once but answers slowly. If the time to
@@ -61,7 +61,7 @@
         self.assertFalse(lease.is_held)
 
     @on_mock_clock
-    async def test_given_back_is_free_at_once(self):
+    async def test_released_lease_can_be_acquired_at_once(self):
         platform = MemoryPlatform()
         first, second = (Lease(platform, "x", name) for name in ("a~1", "b~1"))
         await first.try_hold()
--- a/tests/coordination/test_lending.py
+++ b/tests/coordination/test_lending.py
@@ -63,7 +63,7 @@
             pass
 
     @on_mock_clock
-    async def test_request_is_admitted_though_the_first_loans_come_late(self):
+    async def test_request_is_admitted_after_late_loans(self):
         """Guards against refusing a workspace far below its rate (reason `rate`).
 
         One VM has no token left. Another has four and lends some, but its answer takes
@@ -79,7 +79,7 @@
             self.assertTrue(await vms["a-1"].lending.take(SLOW.name))
 
     @on_mock_clock
-    async def test_lender_that_is_slow_again_after_it_lent_is_asked_again(self):
+    async def test_lender_that_lent_between_two_timeouts_is_asked_again(self):
         """A VM that is late twice in 2 s, but lent in between, is not empty."""
         fleet = MemoryFleet(TWO_VMS, specs=[SLOW])
         async with fleet.running() as vms:
@@ -146,7 +146,7 @@
             self.assertTrue(await vms["a-1"].lending.take(SLOW.name))
 
     @on_mock_clock
-    async def test_lender_that_is_always_late_is_given_up(self):
+    async def test_lender_that_is_always_late_is_no_longer_asked(self):
         """Requests do not keep waiting for a VM whose loans never arrive in time."""
         fleet = MemoryFleet(TWO_VMS, specs=[SLOW])
         async with fleet.running() as vms:
@@ -162,7 +162,7 @@
             self.assertEqual(lending.network.sent["loan_request"], asked)
 
     @on_mock_clock
-    async def test_empty_fleet_is_asked_for_max_rounds_only(self):
+    async def test_fleet_without_tokens_is_asked_for_max_rounds_only(self):
         """A workspace far above its rate does not flood the VMs with loan requests.
 
         All VMs answer in time that they have no tokens, so retrying would not help.
@@ -177,7 +177,7 @@
             self.assertLessEqual(lending.rounds, MAX_ROUNDS)
 
     @on_mock_clock
-    async def test_lender_that_went_silent_is_given_up(self):
+    async def test_lender_that_went_silent_is_no_longer_asked(self):
         """A request does not hang when a VM that had tokens has been cut off."""
         fleet = MemoryFleet(TWO_VMS, specs=[SLOW])
         async with fleet.running() as vms:
@@ -213,7 +213,7 @@
         vm.holdings.apply(message)
 
     @on_mock_clock
-    async def test_tokens_that_the_ledger_moved_are_found_at_once(self):
+    async def test_tokens_of_moved_parts_are_found_at_once(self):
         """Guards against refusing a workspace far below its rate (reason `rate`).
 
         One VM lowers its part. Before the released tokens reach another VM, a third
@@ -318,9 +318,9 @@
             self.assertEqual(lending.network.sent["loan_request"], asked)
 
 
-class TestOrderOfWaiting(unittest.TestCase):
+class TestWaitingRequests(unittest.TestCase):
     @on_mock_clock
-    async def test_later_requests_do_not_take_what_an_earlier_one_borrowed(self):
+    async def test_later_requests_do_not_take_borrowed_tokens(self):
         """Guards against refusing a workspace far below its rate (reason `rate`).
 
         A request borrows. When the loan arrives, later requests use it up, and the next
@@ -338,13 +338,13 @@
             async def request():
                 answers.append(await borrower.lending.take(plenty.name))
 
-            def receive_and_be_asked(*loan):
+            def receive_and_start_requests(*loan):
                 if len(answers) < REQUESTS:
                     for _ in range(REQUESTS_AT_ONCE):
                         nursery.start_soon(request)
                 return receive(*loan)
 
-            borrower.part.receive_loan = receive_and_be_asked
+            borrower.part.receive_loan = receive_and_start_requests
             borrower.part.try_take(borrower.part.available())
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(request)
@@ -358,7 +358,7 @@
         vm.part.try_take(vm.part.available() - amount)
 
     @on_mock_clock
-    async def test_later_request_leaves_a_new_token_to_the_one_that_waits(self):
+    async def test_new_token_goes_to_the_waiting_request(self):
         """A new token goes to the waiting request, not to a later one.
 
         The VM gets a token while the first request asks other VMs without success.
@@ -382,7 +382,7 @@
             self.assertEqual(answers, {1: True, 2: False})
 
     @on_mock_clock
-    async def test_loan_is_used_though_another_lender_falls_silent(self):
+    async def test_loan_is_used_while_another_lender_is_silent(self):
         """Two of three requests are served by a lender that has two tokens.
 
         Two were refused, because the second loan expired while the VM waited for the
--- a/tests/coordination/test_membership.py
+++ b/tests/coordination/test_membership.py
@@ -12,7 +12,7 @@
 
 class TestMembership(unittest.TestCase):
     @on_mock_clock
-    async def test_everybody_hears_of_everybody(self):
+    async def test_every_vm_learns_of_all_vms(self):
         fleet = MemoryFleet(FOUR_VMS)
         async with fleet.running() as vms:
             await trio.sleep(5)
@@ -36,7 +36,7 @@
             self.assertIs(vms["b-1"].membership.liveness("a-2"), Liveness.GONE)
 
     @on_mock_clock
-    async def test_one_lost_link_makes_nobody_suspect(self):
+    async def test_one_broken_link_makes_no_vm_suspect(self):
         """Guards against steering callers away from a healthy VM.
 
         Two VMs of a failure domain cannot reach each other, while a third VM
@@ -70,7 +70,7 @@
             self.assertIs(vms["a-1"].membership.liveness("b-1"), Liveness.ALIVE)
 
     @on_mock_clock
-    async def test_paused_vm_does_not_trust_what_it_knew(self):
+    async def test_paused_vm_does_not_rely_on_its_old_view(self):
         """Guards against admitting requests with a key withdrawn minutes ago.
 
         The process is paused while the key is withdrawn. When it resumes, it
@@ -87,11 +87,11 @@
             self.assertTrue(view.is_caught_up())
 
     @on_mock_clock
-    async def test_replaced_run_that_wakes_must_stop(self):
+    async def test_superseded_process_stops_when_it_resumes(self):
         """Guards against two processes of one VM using the same limits.
 
         A process is paused and the platform starts another one under the same
-        name. The first one resumes and keeps using shares of the budgets that
+        name. The first one resumes and keeps using parts of the budgets that
         have been given to other VMs.
         """
         fleet = MemoryFleet(FOUR_VMS)
@@ -109,7 +109,7 @@
             self.assertFalse(old.membership.is_caught_up())
 
     @on_mock_clock
-    async def test_run_with_a_clock_behind_takes_the_next_incarnation(self):
+    async def test_restart_with_an_earlier_clock_takes_the_next_incarnation(self):
         """Guards against ignoring a restarted VM as an earlier incarnation.
 
         The VM's clock went back between two starts, so the new process has the
@@ -150,7 +150,7 @@
             self.assertIs(view.liveness("b-2"), Liveness.ALIVE)
 
     @on_mock_clock
-    async def test_everybody_learns_who_is_leaving(self):
+    async def test_every_vm_learns_which_vms_are_leaving(self):
         fleet = MemoryFleet(FOUR_VMS)
         async with fleet.running() as vms:
             await trio.sleep(5)
@@ -163,7 +163,7 @@
             self.assertEqual(vms["a-1"].membership.leaving_vms(), [])
 
     @on_mock_clock
-    async def test_survives_loss_repeats_and_reordering(self):
+    async def test_tolerates_loss_duplicates_and_reordering(self):
         fleet = MemoryFleet(FOUR_VMS, seed=5)
         fleet.network.faults.loss = 0.3
         fleet.network.faults.repeat = 0.3
--- a/tests/coordination/test_operations.py
+++ b/tests/coordination/test_operations.py
@@ -19,7 +19,7 @@
 
 
 class TestOperationId(unittest.TestCase):
-    def test_names_what_is_wrong(self):
+    def test_invalid_ids_are_rejected(self):
         for text in ("", "abc", "vm~1~2~", "vm~x~2~n", "vm~1~2~" + "n" * 65):
             with self.subTest(text), self.assertRaises(BadOperationId):
                 OperationId.parse(text)
@@ -90,7 +90,7 @@
             self.assertIs(repeat.verdict, Verdict.UNKNOWN)
 
     @on_mock_clock
-    async def test_what_was_forgotten_is_unknown_not_new(self):
+    async def test_repeat_after_the_record_was_removed_is_unknown(self):
         """Guards against executing a booking again an hour later.
 
         The record was removed to limit memory use, so a late retry looks like
@@ -118,7 +118,7 @@
             self.assertIs(again.verdict, Verdict.RUN)
 
     @on_mock_clock
-    async def test_repeated_claim_message_lets_one_run(self):
+    async def test_duplicate_claim_messages_allow_one_run(self):
         fleet = MemoryFleet(FOUR_VMS, seed=4)
         fleet.network.faults.repeat = 1.0
         async with fleet.running() as vms:
--- a/tests/coordination/test_rebalancer.py
+++ b/tests/coordination/test_rebalancer.py
@@ -34,7 +34,7 @@
             self.assertEqual(fleet.units(), RATE_UNITS)
 
     @on_mock_clock
-    async def test_parts_of_a_dead_vm_come_back(self):
+    async def test_parts_of_a_dead_vm_are_reassigned(self):
         """Guards against a workspace staying below its rate after a VM died.
 
         A VM that held most of a rate dies, and the platform removes it from its list
@@ -51,7 +51,7 @@
             self.assertEqual(fleet.units(), RATE_UNITS)
 
     @on_mock_clock
-    async def test_part_of_a_silent_but_listed_vm_is_left_alone(self):
+    async def test_part_of_a_silent_but_listed_vm_is_not_reassigned(self):
         """Guards against two VMs using the same part, which exceeds the rate.
 
         A VM is cut off but alive and keeps using its part. The others receive nothing
@@ -132,7 +132,7 @@
             self.assertEqual(vms["a-1"].part.units, 100)
 
     @on_mock_clock
-    async def test_tokens_of_a_version_count_once(self):
+    async def test_tokens_of_a_version_are_added_once(self):
         """A repeated datagram does not add the tokens of a version twice."""
         fleet = MemoryFleet(FOUR_VMS)
         async with fleet.running() as vms:
--- a/tests/coordination/test_rumors.py
+++ b/tests/coordination/test_rumors.py
@@ -9,7 +9,7 @@
 
 class TestRumorBook(unittest.TestCase):
     @on_mock_clock
-    async def test_reaches_everybody_without_the_store(self):
+    async def test_reaches_every_vm_without_the_store(self):
         fleet = MemoryFleet(FOUR_VMS)
         async with fleet.running() as vms:
             await trio.sleep(5)
@@ -20,7 +20,7 @@
                 self.assertTrue(vm.rumors.knows("key-withdrawn", "k1"))
 
     @on_mock_clock
-    async def test_reaches_a_domain_that_was_cut_off_for_long(self):
+    async def test_reaches_a_domain_after_a_long_partition(self):
         """Guards against a withdrawn key staying valid in one failure domain.
 
         The domain was partitioned while the key was withdrawn, and flooding
@@ -38,7 +38,7 @@
             self.assertTrue(vms["b-2"].rumors.knows("key-withdrawn", "k1"))
 
     @on_mock_clock
-    async def test_reaches_a_fresh_vm(self):
+    async def test_reaches_a_new_vm(self):
         """Guards against a withdrawn key becoming valid again on a replaced VM."""
         fleet = MemoryFleet(FOUR_VMS)
         async with fleet.running() as vms:
@@ -52,7 +52,7 @@
             self.assertTrue(vms["b-1"].rumors.knows("key-withdrawn", "k1"))
 
     @on_mock_clock
-    async def test_survives_heavy_loss(self):
+    async def test_tolerates_heavy_loss(self):
         fleet = MemoryFleet(FOUR_VMS, seed=3)
         fleet.network.faults.loss = 0.5
         async with fleet.running() as vms:
--- a/tests/coordination/test_versioned.py
+++ b/tests/coordination/test_versioned.py
@@ -19,7 +19,7 @@
 
 class TestDocumentStore(unittest.TestCase):
     @on_mock_clock
-    async def test_keeps_who_when_and_why(self):
+    async def test_history_contains_author_and_reason(self):
         store = DocumentStore(MemoryPlatform())
         await store.commit(change(0, "c1", b"one"))
         await store.commit(change(1, "c2", b"two"))
@@ -29,7 +29,7 @@
         self.assertEqual(await store.segments(oldest), {"s": b"one"})
 
     @on_mock_clock
-    async def test_second_of_two_operators_is_told(self):
+    async def test_stale_change_is_rejected(self):
         """Guards against silently losing an operator's change, such as a drain.
 
         Two operators edit version 1 and both save. The second text does not
@@ -58,7 +58,7 @@
         self.assertEqual((await store.root()).revision.version, 2)
 
     @on_mock_clock
-    async def test_outage_leaves_a_change_that_can_be_repeated(self):
+    async def test_change_can_be_repeated_after_an_outage(self):
         platform = MemoryPlatform()
         store = DocumentStore(platform)
         await store.commit(change(0, "c1"))
@@ -70,7 +70,7 @@
 
     @given(st.lists(st.tuples(st.booleans(), st.integers(0, 3)), max_size=12))
     @settings(max_examples=60, derandomize=True, deadline=None)
-    def test_races_and_lost_answers_lose_and_double_nothing(self, steps):
+    def test_races_and_lost_answers_apply_each_change_once(self, steps):
         """Two writers race while answers are lost; each change is applied once."""
 
         async def body():
--- a/tests/entry/test_escapes.py
+++ b/tests/entry/test_escapes.py
@@ -17,38 +17,36 @@
 
     @on_real_clock
     async def test_head_with_an_invalid_target(self):
-        await self.check_other_requests_unaffected(
-            b"HEAD * HTTP/1.1\r\nhost: x\r\n\r\n"
-        )
+        await self.check_other_request_completes(b"HEAD * HTTP/1.1\r\nhost: x\r\n\r\n")
 
     @on_real_clock
     async def test_head_whose_caller_disconnects_during_the_body(self):
-        await self.check_other_requests_unaffected(
+        await self.check_other_request_completes(
             b"HEAD /prenota/1 HTTP/1.1\r\nhost: x\r\ncontent-length: 5\r\n"
             b"authorization: Bearer " + KEY.text.encode() + b"\r\n\r\n12"
         )
 
     @on_real_clock
     async def test_request_without_a_host_header(self):
-        await self.check_other_requests_unaffected(
+        await self.check_other_request_completes(
             b"GET /prenota/1 HTTP/1.0\r\n"
             b"authorization: Bearer " + KEY.text.encode() + b"\r\n\r\n"
         )
 
     @on_real_clock
     async def test_timeout_header_with_a_superscript_digit(self):
-        await self.check_other_requests_unaffected(
+        await self.check_other_request_completes(
             b"GET /prenota/1 HTTP/1.1\r\nhost: x\r\nrequest-timeout-ms: \xb2\r\n"
             b"authorization: Bearer " + KEY.text.encode() + b"\r\n\r\n"
         )
 
     @on_real_clock
     async def test_lookup_for_an_invalid_address(self):
-        await self.check_other_requests_unaffected(
+        await self.check_other_request_completes(
             b"GET /plantainshed/lookup?client=x&pool=y HTTP/1.1\r\nhost: x\r\n\r\n"
         )
 
-    async def check_other_requests_unaffected(self, data: bytes):
+    async def check_other_request_completes(self, data: bytes):
         async with running_process() as running:
             answers = []
 
--- a/tests/entry/test_plan.py
+++ b/tests/entry/test_plan.py
@@ -79,7 +79,7 @@
             self.assertAlmostEqual(sum(shares.values()), 1.0, places=6)
 
 
-class TestApproach(unittest.TestCase):
+class TestStepTowardsPlan(unittest.TestCase):
     def test_callers_leave_at_once_and_return_in_steps(self):
         self.assertEqual(step_towards_plan({"a": 1.0}, {"b": 1.0}, "a"), {"b": 1.0})
         shares, steps = {"b": 1.0}, 0
--- a/tests/entry/test_signals.py
+++ b/tests/entry/test_signals.py
@@ -150,7 +150,7 @@
             self.assertEqual(await running.process.wait(), 0)
 
     @on_real_clock
-    async def test_sigterm_repeated_until_the_end_gives_exit_status_0(self):
+    async def test_repeated_sigterm_until_the_exit_gives_status_0(self):
         """The exit status is 0 even if a supervisor repeats SIGTERM until the end."""
         async with running_process() as running:
             with trio.fail_after(20):
@@ -181,7 +181,7 @@
 
 class TestShutdownWithoutSignal(unittest.TestCase):
     @on_real_clock
-    async def test_later_stop_signal_does_not_cancel_it(self):
+    async def test_later_stop_signal_does_not_cancel_the_shutdown(self):
         """A signal must not cancel a shutdown that started without one.
 
         A superseded VM shuts down by itself. The first signal after that used
