--- a/packages/coordination/plantainshed_coordination/ledger.py
+++ b/packages/coordination/plantainshed_coordination/ledger.py
@@ -123,8 +123,8 @@
             LEDGER_KIND, ledger.shard, ledger.to_bytes(), ledger.object_version
         )
     except OutcomeUnknown:
-        # The write may have succeeded although the answer was lost. If it were taken
-        # for failed, this writer would continue with parts that were reassigned.
+        # The write may have succeeded although the answer was lost. If it were treated
+        # as failed, this writer would continue with parts that the write reassigned.
         stored = await read_ledger(platform, ledger.shard)
         if stored.writer != ledger.writer:
             raise VersionConflict(
--- a/packages/coordination/plantainshed_coordination/network.py
+++ b/packages/coordination/plantainshed_coordination/network.py
@@ -115,7 +115,7 @@
                     return pending.message
         finally:
             del self._pending[request_id]
-        raise PeerTimeout(f"{vm}: no answer to {field} in {timeout_s:g} s")
+        raise PeerTimeout(f"{vm}: no answer to {field} within {timeout_s:g} s")
 
     async def _handle(self, envelope):
         field = envelope.WhichOneof("body")
--- a/packages/entry/plantainshed_entry/recorded_answers.py
+++ b/packages/entry/plantainshed_entry/recorded_answers.py
@@ -38,7 +38,7 @@
         self.caller = exchange.caller
         self.status = 0
         self.headers = []
-        self.parts: list[bytes] = []
+        self.chunks: list[bytes] = []
         self.size = 0
         self.is_complete = False
 
@@ -62,7 +62,7 @@
         """Send a chunk of the answer."""
         self.size += len(chunk)
         if self.size <= MAX_ANSWER_BYTES:
-            self.parts.append(chunk)
+            self.chunks.append(chunk)
         await self.exchange.send(chunk)
 
     async def flush(self):
@@ -80,5 +80,5 @@
         """Encode the answer for the operation registry; None if it is too large."""
         if self.size > MAX_ANSWER_BYTES:
             return None
-        body = b"".join(self.parts)
+        body = b"".join(self.chunks)
         return RecordedAnswer(self.status, self.headers, body).to_bytes()
--- a/packages/http/plantainshed_http/client.py
+++ b/packages/http/plantainshed_http/client.py
@@ -277,4 +277,6 @@
             async with connected(address, timeout_s) as connection:
                 return await connection.request(method, target, headers, body)
     except trio.TooSlowError as error:
-        raise ConnectionBroken(f"{address}: no answer in {timeout_s:g} s") from error
+        raise ConnectionBroken(
+            f"{address}: no answer within {timeout_s:g} s"
+        ) from error
--- a/packages/operator/plantainshed/console/actions.py
+++ b/packages/operator/plantainshed/console/actions.py
@@ -57,8 +57,8 @@
         now = find_item(document, kind, item)
         if now != before:
             raise EditConflict(
-                f"{item.name} was changed by someone else in the meantime; it is now "
-                f"{_describe(now)}. Save again to overwrite it.",
+                f"{item.name} was changed by someone else in the meantime; current "
+                f"state: {_describe(now)}. Save again to overwrite it.",
                 [],
             )
         if isinstance(item, Drain):
--- a/tests/coordination/test_budget_faults.py
+++ b/tests/coordination/test_budget_faults.py
@@ -27,10 +27,10 @@
         self.max_units = 0
 
     async def ask(self, vm):
-        parts = self.fleet.vms.get(vm)
-        if parts is None or not parts.membership.is_caught_up():
+        running_vm = self.fleet.vms.get(vm)
+        if running_vm is None or not running_vm.membership.is_caught_up():
             return
-        if await parts.lending.take(WORKSPACE.name) and vm in self.fleet.vms:
+        if await running_vm.lending.take(WORKSPACE.name) and vm in self.fleet.vms:
             self.bucket.spend(trio.current_time())
 
     async def load(self, nursery):
--- a/tests/coordination/test_budgets.py
+++ b/tests/coordination/test_budgets.py
@@ -67,7 +67,7 @@
     async def test_units_that_cover_a_loan_cannot_be_given_up(self):
         """Guards against exceeding a rate by the tokens that are on loan.
 
-        A part lends tokens and is then lowered to 0. Its share would go to another VM
+        A part lends tokens and is then lowered to 0. Its units would go to another VM
         while the borrower still uses the loan.
         """
         lender = full_part()
--- a/tests/coordination/test_follower.py
+++ b/tests/coordination/test_follower.py
@@ -29,7 +29,7 @@
         self.bad_text = b"bad"
 
     def follow(self, vm):
-        parts = self.fleet.vms[vm]
+        memory_vm = self.fleet.vms[vm]
 
         def install(revision, segments):
             if self.bad_text in segments.values():
@@ -37,9 +37,12 @@
             self.installed[vm].append(revision.version)
 
         follower = DocumentFollower(
-            DocumentStore(parts.platform), parts.transport, parts.membership, install
+            DocumentStore(memory_vm.platform),
+            memory_vm.transport,
+            memory_vm.membership,
+            install,
         )
-        parts.transport.get_value = follower.value
+        memory_vm.transport.get_value = follower.value
         self.followers[vm] = follower
         self.fleet.nursery.start_soon(follower.run)
 
--- a/tests/operator/test_console.py
+++ b/tests/operator/test_console.py
@@ -139,7 +139,7 @@
                 "/workspaces/save", base_version="1", rate="30", **form
             )
             self.assertEqual(status, 409)
-            self.assertIn("it is now rate 20", browser.page)
+            self.assertIn("current state: rate 20", browser.page)
             self.assertIn('value="30"', browser.page)
             stored = await load_current(browser.context)
             self.assertEqual(stored.document.workspaces[0].rate, 20.0)
