--- a/packages/coordination/plantainshed_coordination/holdings.py
+++ b/packages/coordination/plantainshed_coordination/holdings.py
@@ -53,8 +53,8 @@
     Parameters
     ----------
     network : PeerNetwork
-    is_awake : callable
-        Returns whether this run may act; see `Membership.is_awake`.
+    is_caught_up : callable
+        Returns whether this run may act; see `Membership.is_caught_up`.
 
     Attributes
     ----------
@@ -65,20 +65,21 @@
         ignored.
     choose_from_group : callable
         Takes the name of a group of count budgets and returns the budget to lend
-        from, or None. The second argument is whether the borrower's request must
-        not share a target with another such request.
+        from, or None. The second argument is whether the borrower's request is
+        suspected of crashing targets and must not share a target with another such
+        request.
     """
 
-    def __init__(self, network: PeerNetwork, is_awake: Callable[[], bool]):
+    def __init__(self, network: PeerNetwork, is_caught_up: Callable[[], bool]):
         self.network = network
-        self.is_awake = is_awake
+        self.is_caught_up = is_caught_up
         self.parts: dict[str, AnyPart] = {}
         self.known_version: dict[str, int] = {}
         self.applied_version: dict[str, int] = {}
         self.rebalancer_by_shard: dict[str, str] = {}
         self.leaving = False
         self._pending_reductions: dict[str, PendingReduction] = {}
-        self.choose_from_group: GroupChoice = lambda name, alone: None
+        self.choose_from_group: GroupChoice = lambda name, exclusive: None
         network.handlers["loan_request"] = self._on_loan_request
         network.handlers["loan_return"] = self._on_loan_return
         network.handlers["lower_parts"] = self._on_lower_parts
@@ -233,7 +234,7 @@
         self.known_version[message.shard] = self.applied_version.get(message.shard, 0)
 
     async def _on_loan_request(self, sender, message: LoanRequest):
-        if not self.is_awake():
+        if not self.is_caught_up():
             return LoanGrant()
         part = self.parts.get(message.budget)
         if isinstance(part, RatePart):
--- a/packages/coordination/plantainshed_coordination/rebalancer.py
+++ b/packages/coordination/plantainshed_coordination/rebalancer.py
@@ -82,7 +82,7 @@
             nursery.start_soon(self._keep_lease, candidates)
             while True:
                 await trio.sleep(PERIOD_S)
-                if self.lease.is_held and self.membership.is_awake():
+                if self.lease.is_held and self.membership.is_caught_up():
                     await self._try_rebalance()
 
     async def _keep_lease(self, candidates):
@@ -254,7 +254,7 @@
         self.writes += 1
         self.transferred_tokens = transferred_tokens
         for holder in list(self.plan.reports):
-            if self.plan.has_holder_ended(holder):
+            if self.plan.is_reclaimable(holder):
                 continue
             vm, incarnation = split_holder(holder)
             message = self._parts_message(self.ledger, holder)
--- a/packages/entry/plantainshed_entry/relay.py
+++ b/packages/entry/plantainshed_entry/relay.py
@@ -12,7 +12,7 @@
 
 import trio
 
-from plantainshed_coordination.nurseries import open_plain_nursery
+from plantainshed_coordination.nurseries import open_unwrapping_nursery
 from plantainshed_http.client import ClientConnection
 from plantainshed_http.errors import (
     ConnectFailed,
@@ -98,7 +98,7 @@
             return await ClientConnection.open(address, CONNECT_TIMEOUT_S)
         except ConnectFailed as error:
             raise AttemptFailed(
-                f"target {state.target.name} accepts no connection: {error}",
+                f"cannot connect to target {state.target.name}: {error}",
                 Outcome.NOT_RUN,
             ) from error
 
@@ -139,7 +139,7 @@
             raise Refusal(Reason.BAD_REQUEST, error.reason) from error
         except ConnectionBroken as error:
             raise AttemptFailed(
-                f"target {state.target.name} broke off: {error}",
+                f"the connection to target {state.target.name} broke: {error}",
                 Outcome.UNKNOWN if connection.send_started else Outcome.NOT_RUN,
                 crashed=connection.send_started,
             ) from error
@@ -150,7 +150,7 @@
         await connection.end_request()
 
     async def _stream_both_ways(self, call, state, connection):
-        async with open_plain_nursery() as nursery:
+        async with open_unwrapping_nursery() as nursery:
             nursery.start_soon(self._send_body, call, connection)
             head = await connection.response_head()
             await self._relay_response(call, state, connection, head)
--- a/packages/entry/plantainshed_entry/serving.py
+++ b/packages/entry/plantainshed_entry/serving.py
@@ -92,17 +92,17 @@
         """Answer one request with a target's response or with a refusal."""
         call = None
         try:
-            self._require_awake()
+            self._require_caught_up()
             call = await self._read_call(exchange)
             with self._registered(call):
                 await self._run_within_deadline(call)
         except Refusal as refusal:
             await self._refuse(exchange, call, refusal)
 
-    def _require_awake(self):
+    def _require_caught_up(self):
         # After a pause, this process's budget parts and withdrawn keys may be
-        # out of date; see `Membership.is_awake`.
-        if not self.membership.is_awake():
+        # out of date; see `Membership.is_caught_up`.
+        if not self.membership.is_caught_up():
             raise Refusal(
                 Reason.NOT_READY,
                 "this VM was paused and is refreshing its data",
@@ -128,7 +128,7 @@
             exchange=exchange,
         )
         self.loads.count_arrival(pool.name, call.home_domain)
-        await self.admission.spend_rate(admitted.workspace)
+        await self.admission.take_rate_token(admitted.workspace)
         if _fits_in_buffer(head):
             call.body = await exchange.read_body(BUFFERED_BODY_BYTES)
         call.fingerprint = compute_fingerprint(
