--- a/packages/gateway/plantainshed_gateway/gateway.py
+++ b/packages/gateway/plantainshed_gateway/gateway.py
@@ -38,10 +38,10 @@
 from .survey import DistanceProber
 
 FOLLOWED = (Collection.CONFIGURATION, Collection.TARGETS, Collection.EVACUATIONS)
-UPKEEP_S = 0.25
+UPKEEP_INTERVAL_S = 0.25
 # Interval between reads of the VM list in the store. Heartbeats announce new VMs
 # sooner; the list finds VMs that were partitioned from this one since startup.
-LIST_VMS_S = 30.0
+VM_LIST_INTERVAL_S = 30.0
 REGISTER_RETRY_S = 1.0
 # Maximum time after a pause in which callers are refused. If the store is still
 # unavailable then, this VM serves with its last known state, as it would have
@@ -244,7 +244,7 @@
         """Register this VM in the store, and periodically list the other VMs."""
         is_registered = False
         while True:
-            pause_s = LIST_VMS_S
+            pause_s = VM_LIST_INTERVAL_S
             try:
                 if not is_registered:
                     await self._register()
@@ -288,8 +288,8 @@
     async def _upkeep(self):
         pauses = PauseDetector()
         while True:
-            await trio.sleep(UPKEEP_S)
-            paused_s = pauses.check(UPKEEP_S)
+            await trio.sleep(UPKEEP_INTERVAL_S)
+            paused_s = pauses.check(UPKEEP_INTERVAL_S)
             if paused_s:
                 await self._catch_up_after(paused_s)
             self.quotas.recompute_shares()
--- a/packages/measure/plantainshed_measure/limits_model.py
+++ b/packages/measure/plantainshed_measure/limits_model.py
@@ -12,7 +12,7 @@
 
 from plantainshed_gateway.admission import Admission
 from plantainshed_gateway.errors import Refusal
-from plantainshed_gateway.gateway import LIST_VMS_S, UPKEEP_S
+from plantainshed_gateway.gateway import UPKEEP_INTERVAL_S, VM_LIST_INTERVAL_S
 from plantainshed_gateway.heartbeats import Heartbeat, VmState
 from plantainshed_gateway.loans import Loans
 from plantainshed_gateway.members import Members
@@ -179,7 +179,7 @@
 
     async def _upkeep(self):
         while True:
-            await trio.sleep(UPKEEP_S)
+            await trio.sleep(UPKEEP_INTERVAL_S)
             await self.is_thawed.wait()
             self.quotas.recompute_shares()
             self._measure_unknown()
@@ -204,7 +204,7 @@
                 self.members.note_listed(place.vm, place.ip, place.failure_domain)
             if is_first:
                 await self.peers.send_now()
-            await trio.sleep(LIST_VMS_S)
+            await trio.sleep(VM_LIST_INTERVAL_S)
 
     async def _become_ready(self):
         await trio.sleep(self.fleet.rng.uniform(*START_S))
--- a/tests/gateway/linked_fleet.py
+++ b/tests/gateway/linked_fleet.py
@@ -21,7 +21,7 @@
 from .gateway_support import BOUNDS, make_heartbeat
 
 NEAR_S = 0.0003
-UPKEEP_S = 0.25
+UPKEEP_INTERVAL_S = 0.25
 STEP_S = 0.01
 
 
@@ -102,7 +102,7 @@
 
     async def upkeep(self):
         while True:
-            await trio.sleep(UPKEEP_S)
+            await trio.sleep(UPKEEP_INTERVAL_S)
             self.quotas.recompute_shares()
 
 
