--- a/packages/gateway/plantainshed_gateway/gateway.py
+++ b/packages/gateway/plantainshed_gateway/gateway.py
@@ -12,9 +12,10 @@
 from .connections import TargetConnections
 from .context import Context
 from .datagrams import Message
+from .distance_prober import DistanceProber
 from .errors import BadRequest, ItemExists, StoreUnavailable
 from .forwarding import Forwarder
-from .freshness import FreshnessPoller, poll_interval_s
+from .freshness_poller import FreshnessPoller, poll_interval_s
 from .heartbeats import Heartbeat, VmState
 from .loans import Loans
 from .lookup import LookupTable
@@ -34,8 +35,7 @@
 from .serving import Serving
 from .settings import Settings
 from .speakers import Speakers
-from .state_taker import StateApplier
-from .survey import DistanceProber
+from .state_applier import StateApplier
 
 FOLLOWED = (Collection.CONFIGURATION, Collection.TARGETS, Collection.EVACUATIONS)
 UPKEEP_INTERVAL_S = 0.25
@@ -124,7 +124,7 @@
             )
             for collection in FOLLOWED
         }
-        self.freshness = FreshnessPoller(
+        self.freshness_poller = FreshnessPoller(
             self.followers, self.speakers.is_first_to_reach_store, settings.vm
         )
         self.state_applier = StateApplier(
@@ -174,7 +174,7 @@
             self._nursery = self.messages.nursery = nursery
             for follower in self.followers.values():
                 nursery.start_soon(follower.run)
-            nursery.start_soon(self.freshness.run, self._poll_interval_s)
+            nursery.start_soon(self.freshness_poller.run, self._poll_interval_s)
             nursery.start_soon(self.peers.send_heartbeats)
             nursery.start_soon(self.peers.receive)
             nursery.start_soon(self._sync_vms)
--- a/packages/gateway/plantainshed_gateway/replication.py
+++ b/packages/gateway/plantainshed_gateway/replication.py
@@ -23,7 +23,7 @@
 INITIAL_RETRY_DELAY_S = 0.1
 MAX_RETRY_DELAY_S = 0.8
 # How long one watch waits for a change, and how much longer its response may
-# take before the watch counts as dead. Polls (`freshness`) and peers
+# take before the watch counts as dead. Polls (`freshness_poller`) and peers
 # (`PEER_GRACE_S`) usually detect a dead watch earlier; this is the upper bound.
 WATCH_TIMEOUT_S = 20.0
 WATCH_MARGIN_S = 2.0
--- a/tests/gateway/test_connections.py
+++ b/tests/gateway/test_connections.py
@@ -4,9 +4,9 @@
 import trio
 
 from plantainshed_gateway.connections import TargetConnections
+from plantainshed_gateway.distance_prober import DistanceProber
 from plantainshed_gateway.logs import DecisionLog
 from plantainshed_gateway.registry import Registry
-from plantainshed_gateway.survey import DistanceProber
 from plantainshed_http.errors import ConnectFailed
 from plantainshed_http.messages import ResponseHead
 from tests.gateway.gateway_support import (
--- a/tests/gateway/test_copies_under_faults.py
+++ b/tests/gateway/test_copies_under_faults.py
@@ -6,7 +6,7 @@
 import trio
 
 from plantainshed_gateway.errors import HistoryGone, StoreUnavailable
-from plantainshed_gateway.freshness import FreshnessPoller
+from plantainshed_gateway.freshness_poller import FreshnessPoller
 from plantainshed_gateway.ports import Change, Changes, Collection, Item, Snapshot
 from plantainshed_gateway.replication import Follower, Replica
 from tests.gateway.gateway_support import RecordingLog
--- a/tests/gateway/test_freshness.py
+++ b/tests/gateway/test_freshness_poller.py
@@ -4,7 +4,7 @@
 import trio
 
 from plantainshed_gateway.errors import HistoryGone, StoreUnavailable
-from plantainshed_gateway.freshness import FreshnessPoller, poll_interval_s
+from plantainshed_gateway.freshness_poller import FreshnessPoller, poll_interval_s
 from plantainshed_gateway.heartbeats import VmState
 from plantainshed_gateway.ports import Change, Changes, Collection, Item, Snapshot
 from plantainshed_gateway.replication import MAX_RETRY_DELAY_S, Follower
