--- a/packages/gateway/plantainshed_gateway/cold.py
+++ b/packages/gateway/plantainshed_gateway/cold.py
@@ -57,11 +57,11 @@
             self._buckets.pop(instance, None)
             return True
         tolerance = pool.warmup_per_s * (self.bounds.cold_over - 1.0)
-        max_admitters = int(SAFETY_FACTOR * (tolerance + self.bounds.cold_slack))
-        admitters = vms_for_cold_target(instance, vms, max_admitters)
-        if self.vm not in admitters:
+        max_vms = int(SAFETY_FACTOR * (tolerance + self.bounds.cold_slack))
+        permitted_vms = vms_for_cold_target(instance, vms, max_vms)
+        if self.vm not in permitted_vms:
             return False
-        rate = pool.warmup_per_s / len(admitters)
+        rate = pool.warmup_per_s / len(permitted_vms)
         bucket = self._buckets.get(instance)
         if bucket is None:
             bucket = self._buckets[instance] = _TokenBucket(rate)
--- a/packages/gateway/plantainshed_gateway/context.py
+++ b/packages/gateway/plantainshed_gateway/context.py
@@ -15,7 +15,7 @@
     Parameters
     ----------
     settings : Settings
-    surroundings : PlatformAdapter
+    platform_adapter : PlatformAdapter
         The platform's wire formats and store.
     log : DecisionLog
     incarnation : int
@@ -23,7 +23,7 @@
     """
 
     settings: Settings
-    surroundings: PlatformAdapter
+    platform_adapter: PlatformAdapter
     log: DecisionLog
     incarnation: int
     metrics: Metrics = field(factory=Metrics)
--- a/packages/gateway/plantainshed_gateway/forwarding.py
+++ b/packages/gateway/plantainshed_gateway/forwarding.py
@@ -93,12 +93,12 @@
     async def _send_request(
         self, call: Call, state: TargetState, connection: ClientConnection
     ):
-        outgoing = TargetRequestInfo(
+        info = TargetRequestInfo(
             instance=state.entry.instance,
             deadline_s=max(0.001, call.cancel_at - trio.current_time()),
             workspace=call.workspace_name,
         )
-        headers = self.wire.target_headers(call.head, outgoing)
+        headers = self.wire.target_headers(call.head, info)
         if call.body or call.head.method not in METHODS_WITHOUT_BODY:
             headers.append((b"content-length", b"%d" % len(call.body)))
         await connection.send_head(call.head.method, call.head.target, headers)
--- a/packages/gateway/plantainshed_gateway/gateway.py
+++ b/packages/gateway/plantainshed_gateway/gateway.py
@@ -62,7 +62,7 @@
 
     def __init__(self, context: Context):
         settings = context.settings
-        surroundings = context.surroundings
+        platform_adapter = context.platform_adapter
         self.context = context
         self.log = context.log
         self.state = VmState.STARTING
@@ -89,7 +89,7 @@
         )
         self.peers.seeds = _ips(settings.seeds)
         self.loans = Loans(self.quotas, self.members, self.peers.send, self.round_trips)
-        self.admission = Admission(surroundings.wire, self.quotas, self.loans)
+        self.admission = Admission(platform_adapter.wire, self.quotas, self.loans)
         self.queues = QueueLimits(self.round_trips)
         self.placement = Placement(
             settings.region,
@@ -99,7 +99,9 @@
             self.connections,
             self.round_trips,
         )
-        self.forwarder = Forwarder(surroundings.wire, self.connections, context.metrics)
+        self.forwarder = Forwarder(
+            platform_adapter.wire, self.connections, context.metrics
+        )
         self.distance_prober = DistanceProber(
             self.registry, self.connections, self.round_trips, context.log
         )
@@ -116,19 +118,19 @@
         self.lookup = LookupTable(self.members, settings.bounds.longest_ttl_s)
         self.followers = {
             collection: Follower(
-                surroundings.store,
+                platform_adapter.store,
                 collection,
                 self._on_change,
                 context.log,
-                self.speakers.do_speakers_reach_store,
+                self.speakers.is_store_watched_by_speakers,
             )
             for collection in FOLLOWED
         }
         self.freshness_poller = FreshnessPoller(
-            self.followers, self.speakers.is_first_to_reach_store, settings.vm
+            self.followers, self.speakers.is_store_poller, settings.vm
         )
         self.state_applier = StateApplier(
-            surroundings.decoder,
+            platform_adapter.decoder,
             self.followers,
             self.admission,
             self.registry,
@@ -210,7 +212,9 @@
 
     # Communication with other VMs.
 
-    def _own_heartbeat(self, newest: dict, use: dict, known: int = 1) -> Heartbeat:
+    def _own_heartbeat(
+        self, newest_revisions: dict, usage: dict, known_vm_count: int = 1
+    ) -> Heartbeat:
         settings = self.context.settings
         self.heartbeat_number += 1
         return Heartbeat(
@@ -220,14 +224,14 @@
             incarnation=self.context.incarnation,
             number=self.heartbeat_number,
             state=self.state,
-            known_vm_count=known,
+            known_vm_count=known_vm_count,
             weight=settings.link_mbps,
             is_store_reachable=all(f.is_connected for f in self.followers.values()),
             caller_address=settings.listen.callers,
             control_address=settings.listen.control,
-            newest_revisions=newest,
-            usage=use,
-            deaths=self.poison.recent_crashes(),
+            newest_revisions=newest_revisions,
+            usage=usage,
+            crashes=self.poison.recent_crashes(),
         )
 
     def _make_heartbeat(self) -> Heartbeat:
@@ -249,7 +253,7 @@
                 if not is_registered:
                     await self._register()
                     is_registered = True
-                snapshot = await self.context.surroundings.store.list(
+                snapshot = await self.context.platform_adapter.store.list(
                     Collection.VMS, allow_stale=True
                 )
                 is_first = not self.members.is_listed
@@ -273,7 +277,7 @@
 
     async def _register(self):
         settings = self.context.settings
-        store = self.context.surroundings.store
+        store = self.context.platform_adapter.store
         value = {"ip": settings.ip, "failure_domain": settings.failure_domain}
         try:
             await store.create(Collection.VMS, settings.vm, value)
@@ -333,7 +337,7 @@
 
     async def answer_lookup(self, exchange: Exchange):
         """Answer a caller's look-up with the addresses of VMs to use."""
-        wire = self.context.surroundings.wire
+        wire = self.context.platform_adapter.wire
         try:
             lookup = wire.read_lookup(exchange.request)
         except BadRequest as error:
--- a/packages/gateway/plantainshed_gateway/heartbeats.py
+++ b/packages/gateway/plantainshed_gateway/heartbeats.py
@@ -64,7 +64,7 @@
         Revision of the newest change that it knows, by collection.
     usage : dict of str to QuotaUsage
         Quota usage by workspace.
-    deaths : tuple of (str, str)
+    crashes : tuple of (str, str)
         Fingerprints of requests, each with a target that crashed while running it.
     """
 
@@ -81,7 +81,7 @@
     is_store_reachable: bool = False
     newest_revisions: dict[str, int] = field(factory=dict)
     usage: dict[str, QuotaUsage] = field(factory=dict)
-    deaths: tuple[tuple[str, str], ...] = ()
+    crashes: tuple[tuple[str, str], ...] = ()
 
 
 @frozen
@@ -153,7 +153,7 @@
         Revision of the newest change that the speaker knows, by collection.
     usage : dict of str to UsageSummary
         Quota usage by workspace.
-    deaths : tuple of (str, str)
+    crashes : tuple of (str, str)
         See `Heartbeat`.
     """
 
@@ -167,7 +167,7 @@
     vms: tuple[VmSummary, ...] = ()
     newest_revisions: dict[str, int] = field(factory=dict)
     usage: dict[str, UsageSummary] = field(factory=dict)
-    deaths: tuple[tuple[str, str], ...] = ()
+    crashes: tuple[tuple[str, str], ...] = ()
 
 
 @frozen
--- a/packages/gateway/plantainshed_gateway/holders.py
+++ b/packages/gateway/plantainshed_gateway/holders.py
@@ -32,7 +32,7 @@
         self.refresh()
 
     @property
-    def own(self) -> str:
+    def own_vm(self) -> str:
         """This VM's name."""
         return self.members.own.vm
 
@@ -40,11 +40,11 @@
         """Update the set of ready VMs in the failure domain."""
         ips = {
             member.heartbeat.vm: member.ip
-            for member in self.members.near()
+            for member in self.members.in_own_domain()
             if member.is_alive and member.heartbeat.state is VmState.READY
         }
         if self.members.own.state is VmState.READY or not ips:
-            ips[self.own] = ""
+            ips[self.own_vm] = ""
         if ips.keys() != self.ips.keys():
             self._orders.clear()
         self.ips = ips
@@ -59,7 +59,7 @@
 
     def is_holder(self, workspace: str) -> bool:
         """Return whether this VM holds a share of a workspace's quota."""
-        return self.own in self.of(workspace)
+        return self.own_vm in self.of(workspace)
 
     def holder_for(self, vm: str, workspace: str) -> str:
         """Return the holder that a VM asks first. A holder asks itself."""
@@ -70,9 +70,9 @@
 
     def holder_ips_to_ask(self, workspace: str) -> list[str]:
         """Return the IP addresses of the holders for this VM to ask, in order."""
-        first = self.holder_for(self.own, workspace)
+        first = self.holder_for(self.own_vm, workspace)
         others = [vm for vm in self.of(workspace) if vm != first]
-        return [self.ips[vm] for vm in (first, *others) if vm != self.own]
+        return [self.ips[vm] for vm in (first, *others) if vm != self.own_vm]
 
     def fleet_holder_count(self) -> int:
         """Return the number of holders of each workspace in all failure domains."""
--- a/packages/gateway/plantainshed_gateway/loans.py
+++ b/packages/gateway/plantainshed_gateway/loans.py
@@ -199,7 +199,7 @@
         """Return holders in this region, the one with the most tokens first."""
         own = self.members.own
         lenders = []
-        for member in self.members.near():
+        for member in self.members.in_own_domain():
             usage = member.heartbeat.usage.get(name) if member.heartbeat else None
             if usage is not None and usage.share > 0 and member.is_alive:
                 lenders.append(_Lender(member.ip, own.failure_domain, usage.level))
--- a/packages/gateway/plantainshed_gateway/members.py
+++ b/packages/gateway/plantainshed_gateway/members.py
@@ -284,7 +284,7 @@
             self._ready_vms = trio.current_time(), names
         return names
 
-    def near(self) -> list[Member]:
+    def in_own_domain(self) -> list[Member]:
         """Return the other VMs of the own failure domain, including silent ones."""
         return self.in_domain(self.own.failure_domain)
 
@@ -309,12 +309,12 @@
 
     def usage_view(self, moment: float) -> "UsageView":
         """Return the current quota usage of all other VMs and their past demand."""
-        near = [m for m in self.near() if m.heartbeat is not None]
-        return UsageView(near, list(self.far.values()), moment)
+        own_domain = [m for m in self.in_own_domain() if m.heartbeat is not None]
+        return UsageView(own_domain, list(self.far.values()), moment)
 
     def oldest_heard_at(self) -> float:
         """Return when the oldest report that `usage_view` uses was sent."""
-        heard = [m.heard_at for m in self.near() if m.is_alive]
+        heard = [m.heard_at for m in self.in_own_domain() if m.is_alive]
         heard += [d.oldest_heartbeat_at for d in self.far.values() if d.is_fresh]
         return min(heard, default=trio.current_time())
 
@@ -324,30 +324,30 @@
 
     Parameters
     ----------
-    near : list of Member
+    own_domain : list of Member
         VMs of the own failure domain.
     far : list of FarDomain
     moment : float
         Time for which `UsageTotals.past_demand` is computed.
     """
 
-    def __init__(self, near: list[Member], far: list[FarDomain], moment: float):
-        self.near = UsageSums(near)
+    def __init__(self, own_domain: list[Member], far: list[FarDomain], moment: float):
+        self.own_domain = UsageSums(own_domain)
         self.far = [(domain.is_fresh, domain.summary.usage) for domain in far]
-        alive = [m for m in near if m.is_alive]
-        self.near_past_demand = {
+        alive = [m for m in own_domain if m.is_alive]
+        self.own_domain_past_demand = {
             m.heartbeat.vm: m.demand_history.at(moment) for m in alive
         }
         far_past_demand = [d.demand_history.at(moment) for d in far if d.is_fresh]
         self.past_demands: list[PastDemand] = [
-            *self.near_past_demand.values(),
+            *self.own_domain_past_demand.values(),
             *far_past_demand,
         ]
 
     def of(self, workspace: str) -> UsageTotals:
         """Return the totals of one workspace."""
-        near = self.near.of(workspace)
-        demand, share, silent_share = near.demand, near.share, near.silent_share
+        own = self.own_domain.of(workspace)
+        demand, share, silent_share = own.demand, own.share, own.silent_share
         for is_fresh, usages in self.far:
             usage = usages.get(workspace)
             if usage is None:
--- a/packages/gateway/plantainshed_gateway/peer_messages.py
+++ b/packages/gateway/plantainshed_gateway/peer_messages.py
@@ -85,9 +85,9 @@
             self.members.note_listed(message.vm, ip, message.failure_domain)
             await self._send_member_list(message, ip)
         else:
-            await self._on_near_heartbeat(message, ip)
+            await self._on_domain_heartbeat(message, ip)
 
-    async def _on_near_heartbeat(self, heartbeat: Heartbeat, ip: str):
+    async def _on_domain_heartbeat(self, heartbeat: Heartbeat, ip: str):
         was_alive = self.members.is_alive(heartbeat.vm)
         if not self.members.record_heartbeat(heartbeat, ip):
             return
@@ -166,34 +166,34 @@
     def _record_summary(self, summary: DomainSummary) -> bool:
         if not self.members.record_summary(summary):
             return False
-        self.poison.merge(summary.deaths)
+        self.poison.merge(summary.crashes)
         self._catch_up_followers(
-            summary.newest_revisions, summary.control_address, is_near=False
+            summary.newest_revisions, summary.control_address, is_same_domain=False
         )
         return True
 
     def _apply_heartbeat(self, heartbeat: Heartbeat):
-        self.poison.merge(heartbeat.deaths)
+        self.poison.merge(heartbeat.crashes)
         self._catch_up_followers(
-            heartbeat.newest_revisions, heartbeat.control_address, is_near=True
+            heartbeat.newest_revisions, heartbeat.control_address, is_same_domain=True
         )
 
     def _catch_up_followers(
-        self, newest_revisions: dict[str, int], control: str, is_near: bool
+        self, newest_revisions: dict[str, int], control: str, is_same_domain: bool
     ):
         """Fetch changes that another VM knows and this one does not."""
         for name, newest in newest_revisions.items():
             follower = self.followers.get(name)
             if follower is not None and newest > follower.replica.revision:
                 self.nursery.start_soon(
-                    self._catch_up, follower, control, newest, is_near
+                    self._catch_up, follower, control, newest, is_same_domain
                 )
 
     async def _catch_up(
-        self, follower: Follower, address: str, newest: int, is_near: bool
+        self, follower: Follower, address: str, newest: int, is_same_domain: bool
     ):
         try:
-            await follower.catch_up(address, newest, fetch_state, is_near)
+            await follower.catch_up(address, newest, fetch_state, is_same_domain)
         except StoreUnavailable as error:
             self.log.event(
                 "peer gave no state",
--- a/packages/gateway/plantainshed_gateway/peers.py
+++ b/packages/gateway/plantainshed_gateway/peers.py
@@ -113,7 +113,7 @@
         With `to_far`, a speaker also sends a summary to the other failure domains.
         """
         self.members.own = self.make_heartbeat()
-        ips = {member.ip for member in self.members.near()}
+        ips = {member.ip for member in self.members.in_own_domain()}
         if to_far and len(self.members.alive()) == 1:
             # A VM that knows no other VM contacts the seeds in its settings.
             ips |= self.seeds
@@ -126,7 +126,7 @@
 
     def relay_summaries(self):
         """Relay summaries of other domains inside the own failure domain."""
-        ips = [member.ip for member in self.members.near()]
+        ips = [member.ip for member in self.members.in_own_domain()]
         for bundle in self.speakers.take_bundles():
             self._send_all(bundle, ips)
 
--- a/packages/gateway/plantainshed_gateway/ports.py
+++ b/packages/gateway/plantainshed_gateway/ports.py
@@ -76,7 +76,7 @@
     pool, address, failure_domain : str
     slots : int
         Maximum number of concurrent requests.
-    is_leaving : bool
+    is_draining : bool
     cold_for_s : float
         Remaining warm-up time when the entry was written.
     started_ms : int or None
@@ -89,7 +89,7 @@
     address: str
     failure_domain: str
     slots: int
-    is_leaving: bool
+    is_draining: bool
     cold_for_s: float
     started_ms: int | None = None
 
@@ -172,7 +172,7 @@
     def read_request(self, head: RequestHead) -> CallerRequest:
         """Decode a request, or raise `BadRequest` naming the header."""
 
-    def target_headers(self, head: RequestHead, outgoing: TargetRequestInfo) -> Headers:
+    def target_headers(self, head: RequestHead, info: TargetRequestInfo) -> Headers:
         """Return the headers to send to a target."""
 
     def read_answer(self, head: ResponseHead) -> TargetAnswer:
--- a/packages/gateway/plantainshed_gateway/quota.py
+++ b/packages/gateway/plantainshed_gateway/quota.py
@@ -337,7 +337,7 @@
         starts with a different fraction of a token, so that whole tokens become
         available on different VMs evenly over time rather than on all at once.
         """
-        return tolerance * INITIAL_LEVEL_FRACTION + unit_hash(self.holders.own, name)
+        return tolerance * INITIAL_LEVEL_FRACTION + unit_hash(self.holders.own_vm, name)
 
     @property
     def _vm_count(self) -> int:
@@ -411,9 +411,9 @@
         holders = self.holders.of(name)
         return sum(
             past.of(name)
-            for vm, past in view.near_past_demand.items()
+            for vm, past in view.own_domain_past_demand.items()
             if vm not in holders
-            and self.holders.holder_for(vm, name) == self.holders.own
+            and self.holders.holder_for(vm, name) == self.holders.own_vm
         )
 
     def _heard_fraction(self) -> float:
--- a/packages/gateway/plantainshed_gateway/registry.py
+++ b/packages/gateway/plantainshed_gateway/registry.py
@@ -195,7 +195,7 @@
         vanished = [
             state
             for instance, state in self.states.items()
-            if instance not in named and not state.entry.is_leaving
+            if instance not in named and not state.entry.is_draining
         ]
         for state in vanished:
             if (
@@ -203,8 +203,8 @@
                 or state.expired_at
                 or self._is_mass_expiry(state, vanished)
             ):
-                heard_at = trio.current_time() - notification_delay_s
-                state.expired_at = state.expired_at or heard_at
+                missing_since = trio.current_time() - notification_delay_s
+                state.expired_at = state.expired_at or missing_since
                 states[state.entry.instance] = state
         self.states = states
         self._is_first_update = False
@@ -280,7 +280,7 @@
         self._next_grace_end = min(grace_ends, default=inf)
         for state in self.states.values():
             entry = state.entry
-            if entry.is_leaving or entry.failure_domain in self.evacuated:
+            if entry.is_draining or entry.failure_domain in self.evacuated:
                 continue
             self._by_pool.setdefault(entry.pool, []).append(state)
 
@@ -310,13 +310,13 @@
         return healthy
 
 
-def vms_for_cold_target(instance: str, vms: list[str], most: int) -> list[str]:
+def vms_for_cold_target(instance: str, vms: list[str], max_count: int) -> list[str]:
     """Return the VMs that may send to a cold target; all VMs compute the same list.
 
     The rate limit of a cold target applies to all VMs together. Splitting it evenly
     would leave each VM less than one request a second in a large fleet.
     """
-    return rendezvous_order(instance, vms)[: max(1, most)]
+    return rendezvous_order(instance, vms)[: max(1, max_count)]
 
 
 def _is_restart(known: TargetEntry, entry: TargetEntry) -> bool:
--- a/packages/gateway/plantainshed_gateway/serving.py
+++ b/packages/gateway/plantainshed_gateway/serving.py
@@ -78,7 +78,7 @@
     ):
         self.log = context.log
         self.metrics = context.metrics
-        self.wire = context.surroundings.wire
+        self.wire = context.platform_adapter.wire
         self.admission = admission
         self.placement = placement
         self.forwarder = forwarder
--- a/packages/gateway/plantainshed_gateway/speakers.py
+++ b/packages/gateway/plantainshed_gateway/speakers.py
@@ -59,7 +59,7 @@
     def names(self) -> list[str]:
         """Return the names of the speakers of this VM's failure domain."""
         own = self.members.own
-        alive = [m.heartbeat for m in self.members.near() if _is_candidate(m)]
+        alive = [m.heartbeat for m in self.members.in_own_domain() if _is_candidate(m)]
         candidates = [own, *alive] if own.state is not VmState.LEAVING else alive
         return _ranked(own.failure_domain, candidates)[:SPEAKERS_PER_DOMAIN]
 
@@ -68,7 +68,7 @@
         """Whether this VM is a speaker of its failure domain."""
         return self.members.own.vm in self.names()
 
-    def do_speakers_reach_store(self) -> bool:
+    def is_store_watched_by_speakers(self) -> bool:
         """Return whether another VM watches the store on behalf of this one.
 
         That is the case if this VM is not a speaker and the store answers a speaker.
@@ -79,7 +79,7 @@
         table = self.members.table
         return any(table[name].heartbeat.is_store_reachable for name in names)
 
-    def is_first_to_reach_store(self) -> bool:
+    def is_store_poller(self) -> bool:
         """Return whether this VM is the speaker that polls the store.
 
         That is the case if the store answers no speaker that is ranked before this VM.
@@ -120,11 +120,11 @@
     def make_summary(self) -> DomainSummary:
         """Return a summary of this VM's failure domain."""
         own = self.members.own
-        near = self.members.near()
+        own_domain = self.members.in_own_domain()
         now = trio.current_time()
         # This VM is included in the form in which the others see it.
         itself = Member(_ip_of(own), own.failure_domain, own, now)
-        known = [itself, *(m for m in near if m.heartbeat is not None)]
+        known = [itself, *(m for m in own_domain if m.heartbeat is not None)]
         ages = [now - member.heard_at for member in known if member.is_alive]
         names = {name for member in known for name in member.heartbeat.usage}
         sums = UsageSums(known)
@@ -139,7 +139,7 @@
             vms=tuple(_vm_summary(member, now) for member in known),
             newest_revisions=own.newest_revisions,
             usage={name: _rounded(sums.of(name)) for name in names},
-            deaths=own.deaths,
+            crashes=own.crashes,
         )
 
     def queue_for_relay(self, summary: DomainSummary):
--- a/packages/gateway/plantainshed_gateway/splitting.py
+++ b/packages/gateway/plantainshed_gateway/splitting.py
@@ -47,13 +47,17 @@
         if len(route.pools) == 1:
             return route.pools[0].pool
         shares = self._shares.setdefault((route.name, route.pools), _Shares())
-        total = sum(part.weight for part in route.pools) or 1.0
-        parts = []
-        for part in route.pools:
-            weight = part.weight / total
-            deficit = weight - shares.current(part.pool, weight)
-            parts.append((part.pool, max(0.0, weight + CORRECTION_GAIN * deficit)))
-        pool = _pick_by_weight(parts, unit_hash(route.name, object_key, "split"))
+        total = sum(weighted_pool.weight for weighted_pool in route.pools) or 1.0
+        adjusted_weights = []
+        for weighted_pool in route.pools:
+            weight = weighted_pool.weight / total
+            deficit = weight - shares.current(weighted_pool.pool, weight)
+            adjusted_weights.append(
+                (weighted_pool.pool, max(0.0, weight + CORRECTION_GAIN * deficit))
+            )
+        pool = _pick_by_weight(
+            adjusted_weights, unit_hash(route.name, object_key, "split")
+        )
         shares.note(pool)
         return pool
 
@@ -62,10 +66,10 @@
         self._shares = {key: s for key, s in self._shares.items() if key in routes}
 
 
-def _pick_by_weight(parts: list[tuple[str, float]], position: float) -> str:
-    remaining = position * sum(weight for _, weight in parts)
-    for pool, weight in parts:
+def _pick_by_weight(weights: list[tuple[str, float]], position: float) -> str:
+    remaining = position * sum(weight for _, weight in weights)
+    for pool, weight in weights:
         remaining -= weight
         if remaining < 0:
             return pool
-    return parts[-1][0]
+    return weights[-1][0]
--- a/packages/gateway/plantainshed_gateway/state_applier.py
+++ b/packages/gateway/plantainshed_gateway/state_applier.py
@@ -151,7 +151,7 @@
         leaving = [
             name
             for name, entry in before.items()
-            if name in after and after[name].entry.is_leaving and not entry.is_leaving
+            if name in after and after[name].entry.is_draining and not entry.is_draining
         ]
         if joined or gone or leaving:
             self.log.event(
--- a/tests/gateway/fleet_support.py
+++ b/tests/gateway/fleet_support.py
@@ -78,7 +78,7 @@
             self.deliver(sender, ip, message)
         for vm in list(self.vms.values()):
             vm.members.own = vm.make_own_heartbeat(vm.quotas.usage())
-            for member in vm.members.near():
+            for member in vm.members.in_own_domain():
                 self.send(vm, member.ip, vm.members.own)
         for vm in list(self.vms.values()):
             if self.ticks % 2 == 0:
@@ -88,7 +88,7 @@
                     self.send(vm, ip, summary)
         for vm in list(self.vms.values()):
             for bundle in vm.speakers.take_bundles():
-                for member in vm.members.near():
+                for member in vm.members.in_own_domain():
                     self.send(vm, member.ip, bundle)
         for vm in self.vms.values():
             vm.quotas.recompute_shares()
--- a/tests/gateway/gateway_support.py
+++ b/tests/gateway/gateway_support.py
@@ -88,7 +88,7 @@
             "address": f"{instance}:80",
             "failure_domain": "mil-a",
             "slots": 9,
-            "is_leaving": False,
+            "is_draining": False,
             "cold_for_s": 0.0,
             "started_ms": 1,
             **overrides,
--- a/tests/gateway/test_connections.py
+++ b/tests/gateway/test_connections.py
@@ -57,12 +57,12 @@
         await trio.sleep(CONNECT_S)
         return FakeConnection()
 
-    async def exchange(self, state, is_idempotent=False, takes_s=0.2) -> bool:
+    async def exchange(self, state, is_idempotent=False, run_time_s=0.2) -> bool:
         """Run one exchange; return whether it had to wait for a connection."""
         began_at = trio.current_time()
         connection = await self.connections.acquire(state, is_idempotent)
         waited = trio.current_time() > began_at
-        await trio.sleep(takes_s)
+        await trio.sleep(run_time_s)
         self.connections.release(state, connection, TEN_SECONDS_KEEP_ALIVE)
         return waited
 
@@ -112,12 +112,12 @@
 class TestSurvey(unittest.TestCase):
     async def run_five_seconds(self, targets: Targets):
         log = DecisionLog("vm-0", "mil-a", io.StringIO())
-        survey = DistanceProber(
+        prober = DistanceProber(
             targets.registry, targets.connections, targets.round_trips, log
         )
         async with trio.open_nursery() as nursery:
             for _ in range(20):
-                survey.measure_unknown(nursery)
+                prober.measure_unknown(nursery)
                 await trio.sleep(0.25)
 
     @on_mock_clock
--- a/tests/gateway/test_copies_under_faults.py
+++ b/tests/gateway/test_copies_under_faults.py
@@ -28,8 +28,8 @@
 
     Attributes
     ----------
-    answers : str
-        ``yes``, ``silent`` or ``refusing``.
+    mode : str
+        ``normal``, ``silent`` or ``rejecting``.
     unanswered : list of Collection
         Collections whose pending watches are never answered.
     lag : int
@@ -48,7 +48,7 @@
         self.oldest = 0
 
     def heal(self):
-        self.answers, self.unanswered, self.lag = "yes", [], 0
+        self.mode, self.unanswered, self.lag = "normal", [], 0
 
     def put(self, collection: Collection, name: str, is_deleted: bool):
         self.revision += 1
@@ -95,11 +95,11 @@
         return answer
 
     async def _receive_request(self, wait_s=0.0):
-        if self.answers == "silent":
+        if self.mode == "silent":
             await trio.sleep(wait_s + CALL_TIMEOUT_S)
             raise StoreUnavailable("no answer")
         await self._delay()
-        if self.answers == "refusing":
+        if self.mode == "rejecting":
             raise StoreUnavailable("rejected")
 
     async def _delay(self):
@@ -145,7 +145,7 @@
 
     def _change_faults(self):
         store, rng = self.store, self.rng
-        store.answers = rng.choice(["yes", "yes", "silent", "refusing"])
+        store.mode = rng.choice(["normal", "normal", "silent", "rejecting"])
         store.unanswered = rng.sample(FOLLOWED, rng.randint(0, 3))
         store.lag = rng.choice([0, 3])
         if rng.random() < 0.2:
--- a/tests/gateway/test_freshness_poller.py
+++ b/tests/gateway/test_freshness_poller.py
@@ -366,9 +366,9 @@
         members.record_heartbeat(beat, "10.0.0.1")
         speakers = Speakers(members)
         is_first = speakers.names()[0] == "vm-0"
-        self.assertEqual(speakers.is_first_to_reach_store(), is_first)
+        self.assertEqual(speakers.is_store_poller(), is_first)
         lost = make_heartbeat("vm-1", 2, is_store_reachable=False)
         members.record_heartbeat(lost, "10.0.0.1")
-        self.assertTrue(speakers.is_first_to_reach_store())
+        self.assertTrue(speakers.is_store_poller())
         members.own = make_heartbeat("vm-0", 2, state=VmState.LEAVING)
-        self.assertFalse(speakers.is_first_to_reach_store())
+        self.assertFalse(speakers.is_store_poller())
--- a/tests/gateway/test_limits.py
+++ b/tests/gateway/test_limits.py
@@ -77,7 +77,7 @@
 
 
 class TestPoison(unittest.TestCase):
-    def mark(self, body=b"x"):
+    def fingerprint(self, body=b"x"):
         return compute_fingerprint("comune", "POST", "/book/1", body)
 
     @on_mock_clock
@@ -87,29 +87,29 @@
         Each repetition costs another target, whichever VM receives it.
         """
         here, there = PoisonTracker(), PoisonTracker()
-        here.note_crash(self.mark(), "i-1")
-        here.note_crash(self.mark(), "i-2")
-        self.assertFalse(here.is_blocked(self.mark()))
-        there.note_crash(self.mark(), "i-3")
+        here.note_crash(self.fingerprint(), "i-1")
+        here.note_crash(self.fingerprint(), "i-2")
+        self.assertFalse(here.is_blocked(self.fingerprint()))
+        there.note_crash(self.fingerprint(), "i-3")
         here.merge(there.recent_crashes())
         there.merge(here.recent_crashes())
-        self.assertTrue(here.is_blocked(self.mark()))
-        self.assertTrue(there.is_blocked(self.mark()))
-        self.assertFalse(here.is_blocked(self.mark(b"another seat")))
+        self.assertTrue(here.is_blocked(self.fingerprint()))
+        self.assertTrue(there.is_blocked(self.fingerprint()))
+        self.assertFalse(here.is_blocked(self.fingerprint(b"another seat")))
 
     @on_mock_clock
     async def test_answered_request_is_cleared(self):
-        book = PoisonTracker()
+        tracker = PoisonTracker()
         for instance in ("i-1", "i-2", "i-3"):
-            book.note_crash(self.mark(), instance)
-        book.note_answered(self.mark())
-        self.assertFalse(book.is_blocked(self.mark()))
+            tracker.note_crash(self.fingerprint(), instance)
+        tracker.note_answered(self.fingerprint())
+        self.assertFalse(tracker.is_blocked(self.fingerprint()))
 
     @on_mock_clock
     async def test_block_expires(self):
-        book = PoisonTracker()
+        tracker = PoisonTracker()
         for instance in ("i-1", "i-2", "i-3"):
-            book.note_crash(self.mark(), instance)
+            tracker.note_crash(self.fingerprint(), instance)
         await trio.sleep(31)
-        self.assertFalse(book.is_blocked(self.mark()))
-        self.assertEqual(book.recent_crashes(), ())
+        self.assertFalse(tracker.is_blocked(self.fingerprint()))
+        self.assertEqual(tracker.recent_crashes(), ())
--- a/tests/gateway/test_placement.py
+++ b/tests/gateway/test_placement.py
@@ -219,7 +219,7 @@
         self.assertEqual(len(registry.usable("calendario", frozenset())), 10)
 
     @on_mock_clock
-    async def test_targets_whose_entries_lapsed_together_stay_usable(self):
+    async def test_targets_whose_entries_expired_together_stay_usable(self):
         """Targets' entries expire while the store is down.
 
         All targets then seem to disappear at once although they still run. Their
@@ -234,7 +234,7 @@
         self.assertEqual(len(registry.usable("calendario", frozenset())), 2)
 
     @on_mock_clock
-    async def test_lapsed_target_gets_no_requests_after_its_grace_period(self):
+    async def test_expired_target_gets_no_requests_after_its_grace_period(self):
         """Guards against requests to a departed target until the next upkeep step."""
         registry = make_registry()
         placement = make_placement(registry)
--- a/tests/gateway/test_state.py
+++ b/tests/gateway/test_state.py
@@ -327,7 +327,7 @@
 
     @on_mock_clock
     async def test_heartbeat_is_unchanged_by_encoding_and_decoding(self):
-        heartbeat = make_heartbeat("vm-1", deaths=(("mark", "i-1"),))
+        heartbeat = make_heartbeat("vm-1", crashes=(("mark", "i-1"),))
         self.assertEqual(decode(encode(heartbeat)), heartbeat)
         shapes = (b"", b"{}", b"[]", b'["h",[1]]', b'["x",[]]', b"\xff\x00")
         for bad in (*shapes, b'["r",[[]]]', b'["n",[0]]', b"\x78\x01no", b'["b",[7]]'):
--- a/tests/platform/soak/faults.py
+++ b/tests/platform/soak/faults.py
@@ -173,16 +173,16 @@
 
     async def store_down(self, fault: Fault):
         """Make the store answer all calls with 503."""
-        await self._apply_store_mode(fault, "busy")
+        await self._apply_store_mode(fault, "unavailable")
 
     async def store_silent(self, fault: Fault):
         """Make the store answer no call."""
         await self._apply_store_mode(fault, "silent")
 
     async def _apply_store_mode(self, fault: Fault, mode: str):
-        self.world.store.answers = mode
+        self.world.store.mode = mode
         disturbances = await self._disturb(fault, "store")
-        self.world.store.answers = "yes"
+        self.world.store.mode = "normal"
         self._end_disturbances(disturbances)
 
     async def store_slow(self, fault: Fault):
@@ -196,9 +196,9 @@
 
     async def store_loses_answers(self, fault: Fault):
         """Make the store perform writes without answering them."""
-        self.world.store.loses_answers = True
+        self.world.store.drops_write_answers = True
         disturbances = await self._disturb(fault, "store")
-        self.world.store.loses_answers = False
+        self.world.store.drops_write_answers = False
         self._end_disturbances(disturbances)
 
     async def store_forgets(self, fault: Fault):
@@ -255,7 +255,7 @@
         """Make the next six responses of a target faulty."""
         target = self._pick_target(fault)
         rng = random.Random(fault.random_bits)
-        target.spoils += [rng.choice(RESPONSE_FAULTS) for _ in range(6)]
+        target.response_faults += [rng.choice(RESPONSE_FAULTS) for _ in range(6)]
         self._end_disturbances(await self._disturb(fault, target.instance))
 
     async def target_leaves(self, fault: Fault):
--- a/tests/platform/soak/world.py
+++ b/tests/platform/soak/world.py
@@ -154,7 +154,7 @@
     world = World(settings)
     async with contextlib.AsyncExitStack() as stack:
         for number in range(settings.targets):
-            target = Target(f"target-{number}", slots=8, takes_s=0.03)
+            target = Target(f"target-{number}", slots=8, run_time_s=0.03)
             target.runs = RecordingList(target, world)
             await stack.enter_async_context(running_target(target))
             proxy = running_proxy(target.address)
--- a/tests/platform/store_standin.py
+++ b/tests/platform/store_standin.py
@@ -17,10 +17,10 @@
 
     Attributes
     ----------
-    answers : str
-        How it answers: ``yes`` (normally), ``busy`` (503), ``many`` (429) or
+    mode : str
+        How it answers: ``normal``, ``unavailable`` (503), ``rate_limited`` (429) or
         ``silent`` (not at all).
-    loses_answers : bool
+    drops_write_answers : bool
         Whether writes take effect but get no answer.
     oldest_revision : int
         The oldest revision that can be watched; watches from below it get 410.
@@ -33,8 +33,8 @@
     objects: dict[str, dict[str, dict]] = field(factory=dict)
     history: list[tuple[int, str, dict, bool]] = field(factory=list)
     revision: int = 100
-    answers: str = "yes"
-    loses_answers: bool = False
+    mode: str = "normal"
+    drops_write_answers: bool = False
     oldest_revision: int = 0
     page_size: int = 500
     calls: list[str] = field(factory=list)
@@ -81,17 +81,17 @@
         """Answer one call."""
         body = await exchange.read_body(1 << 20)
         self.calls.append(f"{exchange.request.method} {exchange.request.target}")
-        if self.answers == "silent":
+        if self.mode == "silent":
             await trio.sleep_forever()
-        if self.answers != "yes":
-            status = {"busy": 503, "many": 429}[self.answers]
+        if self.mode != "normal":
+            status = {"unavailable": 503, "rate_limited": 429}[self.mode]
             await exchange.reply(status, [], b"{}")
             return
         path, _, query = exchange.request.target.removeprefix(PREFIX).partition("?")
         kind, _, name = path.partition("/")
         parameters = dict(part.split("=") for part in query.split("&") if part)
         status, answer = await self._answer(exchange, kind, name, parameters, body)
-        if self.loses_answers and exchange.request.method != "GET":
+        if self.drops_write_answers and exchange.request.method != "GET":
             await trio.sleep_forever()
         await exchange.reply(status, [], orjson.dumps(answer))
 
--- a/tests/platform/target_standin.py
+++ b/tests/platform/target_standin.py
@@ -30,13 +30,13 @@
     slots : int
         How many requests run at once. Further ones are shed and reported as not
         run.
-    takes_s : float
+    run_time_s : float
         How long a run takes.
-    queues_s : float
+    queue_time_s : float
         How long a request waits before it is shed.
     shed : int
         How many requests were shed or are waiting to be.
-    spoils : list of str
+    response_faults : list of str
         Faults of the next answers, in order: ``unsigned`` (no seal), ``encoded``,
         ``truncated``, ``reset``, ``extra`` (another request's answer first),
         ``after`` (bytes after the end), ``fails`` (500), ``garbage``, ``unframed``
@@ -48,10 +48,10 @@
 
     instance: str
     slots: int = 4
-    takes_s: float = 0.0
-    queues_s: float = 0.0
+    run_time_s: float = 0.0
+    queue_time_s: float = 0.0
     shed: int = 0
-    spoils: list[str] = field(factory=list)
+    response_faults: list[str] = field(factory=list)
     body: bytes = b"the target's bytes"
     runs: list[Run] = field(factory=list)
     running: int = 0
@@ -82,20 +82,20 @@
             return True
         if self.running >= self.slots:
             self.shed += 1
-            await trio.sleep(self.queues_s)
+            await trio.sleep(self.queue_time_s)
             extra_headers = [("Not-Executed", "1")]
             await self._reply(stream, connection, 503, headers, b"", extra_headers)
             return True
         self.runs.append(Run(headers.get("request-id", ""), headers, body, path))
         self.running += 1
         try:
-            await trio.sleep(self.takes_s)
+            await trio.sleep(self.run_time_s)
         finally:
             self.running -= 1
         return await self._answer(stream, connection, headers)
 
     async def _answer(self, stream, connection, headers) -> bool:
-        fault = self.spoils.pop(0) if self.spoils else ""
+        fault = self.response_faults.pop(0) if self.response_faults else ""
         full_body = self.body_for(headers)
         seal = [("Server-Seal", f"seal-{self.instance}")]
         if fault == "reset":
--- a/tests/platform/test_daemon.py
+++ b/tests/platform/test_daemon.py
@@ -145,7 +145,7 @@
         the running requests, with `Connection: close` so that callers reconnect
         elsewhere, and then the process exits by itself.
         """
-        async with running_daemon(takes_s=0.6) as daemon:
+        async with running_daemon(run_time_s=0.6) as daemon:
             answers = []
 
             async def ask():
@@ -195,19 +195,19 @@
 
     @on_real_clock
     async def test_reload_does_not_interrupt_requests(self):
-        async with running_daemon(takes_s=1.0) as daemon:
+        async with running_daemon(run_time_s=1.0) as daemon:
             await self.check_stop_completes(daemon, signal.SIGHUP)
             self.assertTrue(await daemon.until_line("reload"))
 
     @on_real_clock
     async def test_repeated_stop_signal_does_not_interrupt_requests(self):
-        async with running_daemon(takes_s=1.0) as daemon:
+        async with running_daemon(run_time_s=1.0) as daemon:
             await self.check_stop_completes(daemon, signal.SIGTERM)
             self.assertTrue(await daemon.until_line("stop requested again"))
 
     @on_real_clock
     async def test_series_of_signals_does_not_interrupt_requests(self):
-        async with running_daemon(takes_s=1.0) as daemon:
+        async with running_daemon(run_time_s=1.0) as daemon:
             hangup, stop = signal.SIGHUP, signal.SIGTERM
             await self.check_stop_completes(
                 daemon, hangup, hangup, stop, hangup, signal.SIGINT
--- a/tests/platform/test_escapes.py
+++ b/tests/platform/test_escapes.py
@@ -45,7 +45,7 @@
     async def check_other_request_completes(
         self, data: bytes, listener: str = "callers"
     ):
-        async with running_daemon(takes_s=0.6) as daemon:
+        async with running_daemon(run_time_s=0.6) as daemon:
             answers = []
 
             async def ask():
@@ -80,7 +80,7 @@
         although targets need longer than the remaining time, and then canceled it
         without an answer.
         """
-        async with running_daemon(takes_s=0.6) as daemon:
+        async with running_daemon(run_time_s=0.6) as daemon:
             host, _, port = daemon.callers.rpartition(":")
             head = (
                 f"POST /book/1 HTTP/1.1\r\nhost: {HOST}\r\nrequest-id: r-2\r\n"
--- a/tests/platform/test_fleet.py
+++ b/tests/platform/test_fleet.py
@@ -185,12 +185,12 @@
             await fleet.until(
                 lambda: all(configuration_version(g) == 8 for g in fleet.gateways)
             )
-            fleet.store.answers = "silent"
+            fleet.store.mode = "silent"
             watches_before = fleet.count_config_watches()
             await fleet.until(
                 lambda: fleet.count_config_watches() == watches_before + 3
             )
-            fleet.store.answers = "yes"
+            fleet.store.mode = "normal"
             fleet.store.put("config", "main", configuration(9))
             await fleet.until(
                 lambda: all(configuration_version(g) == 9 for g in fleet.gateways)
--- a/tests/platform/test_whole_path.py
+++ b/tests/platform/test_whole_path.py
@@ -139,7 +139,7 @@
         on the same connection.
         """
         async with running_system(1) as system:
-            system.targets[0].spoils = ["extra"]
+            system.targets[0].response_faults = ["extra"]
             status, _, body = await system.ask("/book/1", "POST")
             self.assertEqual((status, body), (200, b"the target's bytes"))
             self.assertEqual(len(system.targets[0].runs), 1)
@@ -147,7 +147,7 @@
     @on_real_clock
     async def test_bytes_after_an_answer_reach_no_caller(self):
         async with running_system(1) as system:
-            system.targets[0].spoils = ["after", "", ""]
+            system.targets[0].response_faults = ["after", "", ""]
             for _ in range(3):
                 status, _, body = await system.ask()
                 self.assertEqual((status, body), (200, b"the target's bytes"))
@@ -157,7 +157,7 @@
         for fault in ("unsigned", "encoded", "truncated", "reset", "garbage", "fails"):
             async with running_system(2) as system:
                 for target in system.targets:
-                    target.spoils = [fault]
+                    target.response_faults = [fault]
                 # Each target gives one faulty answer. The second attempt of the
                 # second request gets a correct one at the latest.
                 await system.ask()
@@ -174,7 +174,7 @@
         for fault in ("unsigned", "truncated", "reset", "garbage"):
             async with running_system(2) as system:
                 for target in system.targets:
-                    target.spoils = [fault]
+                    target.response_faults = [fault]
                 status, headers, _ = await system.ask("/book/1", "POST", body=b"seat 4")
                 self.assertEqual(status, 502, fault)
                 self.assertNotIn("retry-after", headers)
@@ -185,7 +185,7 @@
     async def test_error_answer_of_a_target_is_passed_on_unchanged(self):
         async with running_system(2) as system:
             for target in system.targets:
-                target.spoils = ["fails"]
+                target.response_faults = ["fails"]
             status, headers, _ = await system.ask("/book/1", "POST")
             self.assertEqual(status, 500)
             self.assertIn("server-seal", headers)
@@ -206,7 +206,7 @@
     async def test_answer_without_a_length_is_complete(self):
         for size in (1, 4000):
             async with running_system(1, body=self.LONG[: size * 256]) as system:
-                system.targets[0].spoils = ["unframed"]
+                system.targets[0].response_faults = ["unframed"]
                 status, _, body = await system.ask()
                 self.assertEqual((status, len(body)), (200, size * 256))
 
@@ -220,7 +220,7 @@
         """
         for fault in ("cut", "unframed reset"):
             async with running_system(1, body=self.LONG) as system:
-                system.targets[0].spoils = [fault]
+                system.targets[0].response_faults = [fault]
                 with self.assertRaises(ConnectionBroken, msg=fault):
                     await system.ask("/book/1", "POST")
 
@@ -228,7 +228,7 @@
     async def test_truncated_short_answer_gets_502(self):
         for fault in ("cut", "unframed reset"):
             async with running_system(1) as system:
-                system.targets[0].spoils = [fault]
+                system.targets[0].response_faults = [fault]
                 status, _, _ = await system.ask("/book/1", "POST")
                 self.assertEqual(status, 502, fault)
 
@@ -288,7 +288,7 @@
         async with running_system() as system:
             await system.ask(affinity_key="42")
             owner = next(target for target in system.targets if target.runs)
-            owner.takes_s = 3600.0
+            owner.run_time_s = 3600.0
             for _ in range(FAILURES_TO_EJECT):
                 status, _, _ = await system.ask(affinity_key="42")
                 self.assertEqual(status, 504)
@@ -299,7 +299,7 @@
     async def test_request_gets_504_at_the_route_timeout(self):
         routes = [route(timeout="200ms", targetLatency="100ms", attempts=1)]
         async with running_system(
-            1, configuration(paths=routes), takes_s=5.0
+            1, configuration(paths=routes), run_time_s=5.0
         ) as system:
             status, _, _ = await system.ask()
             self.assertEqual(status, 504)
@@ -315,7 +315,7 @@
         routes = [route("book", "/book/", kind="non_idempotent", timeout="300ms")]
         routes[0]["targetLatency"] = "100ms"
         async with running_system(
-            1, configuration(paths=routes), takes_s=0.35
+            1, configuration(paths=routes), run_time_s=0.35
         ) as system:
             status, _, _ = await system.ask("/book/1", "POST")
             self.assertEqual(status, 200)
@@ -329,7 +329,7 @@
         While targets were slow, callers disconnected early, and each of their
         requests kept its slot.
         """
-        async with running_system(1, takes_s=1.0) as system:
+        async with running_system(1, run_time_s=1.0) as system:
             stream = await system.connect()
             await stream.send_all(
                 f"GET /read/1 HTTP/1.1\r\nHost: {HOST}\r\nRequest-Id: r\r\n"
@@ -351,7 +351,7 @@
         that disconnects does not cancel a booking, so the VM did not check whether
         the caller was still connected before it retried.
         """
-        async with running_system(2, slots=0, queues_s=0.3) as system:
+        async with running_system(2, slots=0, queue_time_s=0.3) as system:
             stream = await system.connect()
             await stream.send_all(
                 f"POST /book/1 HTTP/1.1\r\nHost: {HOST}\r\nRequest-Id: r\r\n"
@@ -366,7 +366,7 @@
 
     @on_real_clock
     async def test_non_idempotent_request_continues_when_its_caller_disconnects(self):
-        async with running_system(1, takes_s=0.3) as system:
+        async with running_system(1, run_time_s=0.3) as system:
             stream = await system.connect()
             await stream.send_all(
                 f"POST /book/1 HTTP/1.1\r\nHost: {HOST}\r\nRequest-Id: r\r\n"
@@ -446,11 +446,11 @@
     @on_real_clock
     async def test_requests_are_served_while_the_store_is_unavailable(self):
         async with running_system() as system:
-            system.store.answers = "busy"
+            system.store.mode = "unavailable"
             system.store.forget_history()
             await system.until(lambda: system.lines("store lost"))
             self.assertEqual((await system.ask())[0], 200)
-            system.store.answers = "yes"
+            system.store.mode = "normal"
             system.store.put("config", "main", configuration(9))
             await system.until(
                 lambda: system.gateway.admission.configuration.version == 9
