--- a/packages/gateway/plantainshed_gateway/call.py
+++ b/packages/gateway/plantainshed_gateway/call.py
@@ -41,8 +41,8 @@
     tried : list of str
         Instances chosen for its attempts, for the log.
     load, load_age_s : float or None
-        Expected load of the last of these instances when it was chosen, and the age
-        of that instance's own load report, None if there was no report.
+        Expected load of the instance chosen last, at that time, and the age of its
+        load report. `load_age_s` is None if there was no report.
     fingerprint : str
         Identifies the same request when it is repeated; see `PoisonTracker`.
     """
--- a/packages/gateway/plantainshed_gateway/connections.py
+++ b/packages/gateway/plantainshed_gateway/connections.py
@@ -2,9 +2,9 @@
 
 A target closes connections that are idle for too long, and may do so just as the next
 request is sent. It is then unknown whether that request ran. Requests that are not
-idempotent therefore reuse connections only for a smaller fraction of the target's
-idle timeout. If connections to a pool's targets break earlier than that, idle
-connections to the pool are reused for a shorter time for a while.
+idempotent therefore reuse connections only for a smaller fraction of the target's idle
+timeout. If a reused connection breaks nevertheless, connections to the same pool are
+reused only after shorter idle times for the next seconds.
 """
 
 import contextlib
--- a/packages/gateway/plantainshed_gateway/gateway.py
+++ b/packages/gateway/plantainshed_gateway/gateway.py
@@ -201,7 +201,7 @@
             self.state = VmState.READY
             self.serving.is_ready.set()
             if self._nursery is not None:
-                # From this heartbeat on, other VMs reserve a share of the quotas for
+                # After this heartbeat, other VMs reserve a share of the quotas for
                 # this VM and include it in look-ups.
                 self._nursery.start_soon(self.peers.send_now)
             self.log.event(
--- a/packages/gateway/plantainshed_gateway/holders.py
+++ b/packages/gateway/plantainshed_gateway/holders.py
@@ -1,11 +1,11 @@
 """Selection of the VMs of a failure domain that hold its share of a quota.
 
-The load this is designed for: a small workspace whose requests arrive at many VMs. If
-each of 80 VMs held a share of 10 requests a second, most would have no whole token when
-a request arrives; 7 % of the requests within their quota were refused that way.
-Instead, two VMs of each domain hold the domain's whole share. All VMs of the domain
-select the same two by rendezvous hashing, and the others request a token from them for
-each request. This takes a round trip inside the domain of less than a millisecond.
+This is designed for small workspaces whose requests arrive at many VMs. If each of 80
+VMs held a share of 10 requests a second, most would have no whole token when a request
+arrives; 7 % of the requests within their quota were refused that way. Instead, two VMs
+of each domain hold the domain's whole share. All VMs of the domain select the same two
+by rendezvous hashing, and the others request a token from them for each request. This
+takes a round trip inside the domain of less than a millisecond.
 """
 
 from plantainshed_coordination.digests import rendezvous_order, unit_hash
--- a/packages/gateway/plantainshed_gateway/loans.py
+++ b/packages/gateway/plantainshed_gateway/loans.py
@@ -1,11 +1,11 @@
 """Borrowing of quota tokens between VMs.
 
-The load this is designed for: a small workspace whose requests arrive in bursts at one
-VM while its tokens are on other VMs. For a request without a token, the VM asks near
-VMs one after the other and then several far VMs at once. Far VMs are not asked if the
-workspace exceeds its rate: the token would arrive late, and the far VM needs it for its
-own callers. A VM that is running out of tokens prefetches some, so that requests rarely
-wait for a round trip between regions.
+This is designed for small workspaces whose requests arrive in bursts at one VM while
+their tokens are on other VMs. For a request without a token, the VM asks near VMs
+(those of its region) one after the other and then several far VMs (of other regions) at
+once. Far VMs are not asked if the workspace exceeds its rate: the token would arrive
+late, and the far VM needs it for its own callers. A VM that is running out of tokens
+prefetches some, so that requests rarely wait for a round trip between regions.
 
 The lender withdraws the tokens from its bucket before it answers. A lost message
 therefore loses tokens but never duplicates them. A loan that arrives after its request
@@ -24,7 +24,7 @@
 from .quota import Quotas
 from .round_trips import RoundTrips
 
-# Number of near VMs that are asked one after the other. In a simulation without a
+# Number of near VMs that are asked, one after the other. In a simulation without a
 # network at 78 VMs, 4 % of a small workspace's requests were refused with two, 0.4 %
 # with four.
 NEAR_LENDERS_TRIED = 4
@@ -90,7 +90,7 @@
 
 
 class Loans:
-    """Requests tokens from other VMs and lends own ones.
+    """Borrows tokens from other VMs and lends them this VM's tokens.
 
     Parameters
     ----------
--- a/packages/gateway/plantainshed_gateway/members.py
+++ b/packages/gateway/plantainshed_gateway/members.py
@@ -130,7 +130,7 @@
     demand, share : float
         Sums over the VMs that are alive.
     past_demand : float
-        The sum of demand at the moment of the view.
+        The sum of demand at the time for which the `UsageView` is computed.
     silent_share : float
         Shares of silent VMs. They may be alive behind a partition and still use them.
     """
@@ -246,7 +246,7 @@
         return version > known.latest_by_speaker.get(speaker, (-1, -1))
 
     def forget_gone(self) -> list[str]:
-        """Remove VMs that have been silent for long; return their names."""
+        """Remove VMs that have been silent for `FORGET_AFTER_S`; return their names."""
         gone = [vm for vm, member in self.table.items() if member.is_forgotten]
         for vm in gone:
             del self.table[vm]
@@ -320,13 +320,14 @@
 
 
 class UsageView:
-    """Quota usage of all other VMs.
+    """Quota usage of all other VMs, by workspace.
 
     Parameters
     ----------
     own_domain : list of Member
-        VMs of the own failure domain.
+        Other VMs of the own failure domain.
     far : list of FarDomain
+        Other failure domains.
     moment : float
         Time for which `UsageTotals.past_demand` is computed.
     """
--- a/packages/gateway/plantainshed_gateway/placement.py
+++ b/packages/gateway/plantainshed_gateway/placement.py
@@ -36,7 +36,7 @@
 # Requests per slot, running and waiting, above which an object's first owner is
 # busy. The second owner is then preferred if it is below this threshold.
 SPILL_OCCUPANCY = 1.5
-# Number of owners of an object, not counting targets that are out or still cold.
+# Number of owners of an object, not counting targets that are ejected or still cold.
 OWNERS_PER_OBJECT = 2
 # Ratio of the longest inter-region round trip to the route's latency objective.
 # Regions count as far at or above the first value, and as near again below the
@@ -44,7 +44,7 @@
 FAR_ROUND_TRIP_RATIO = 0.12
 NEAR_ROUND_TRIP_RATIO = 0.11
 # Number of targets of the whole fleet in an object's ranking. It is larger than the
-# number of owners, so that owners can be found when some targets are out.
+# number of owners, so owners can be found when some targets are ejected.
 MAX_RANKED_TARGETS = 6
 MAX_CACHED_RANKINGS = 20_000
 
@@ -265,10 +265,10 @@
 
 
 def _select_candidates(ranking: tuple | list, count: int) -> _Candidates:
-    """Return the first `count` healthy, warm targets as owners.
+    """Return the first `count` healthy (not ejected), warm targets as owners.
 
     Healthy cold targets that rank before the last owner are returned too; if there
-    are fewer than `count` owners, all healthy cold targets are.
+    are fewer than `count` owners, all healthy cold targets are returned.
     """
     healthy = [state for state in ranking if not state.is_ejected]
     owners = [state for state in healthy if not state.is_cold][:count]
--- a/packages/gateway/plantainshed_gateway/poison.py
+++ b/packages/gateway/plantainshed_gateway/poison.py
@@ -7,7 +7,7 @@
 A target counts as crashed when a connection breaks during a request and a new
 connection is refused a moment later; a lost answer alone does not count. VMs share
 crashes in their heartbeats. When a request is answered, its record is cleared, because
-it only happened to be running when a target crashed for another reason.
+it evidently ran on a target that crashed for another reason.
 """
 
 import trio
--- a/packages/gateway/plantainshed_gateway/ports.py
+++ b/packages/gateway/plantainshed_gateway/ports.py
@@ -77,6 +77,7 @@
     slots : int
         Maximum number of concurrent requests.
     is_draining : bool
+        Whether the target is about to stop and must get no new requests.
     cold_for_s : float
         Remaining warm-up time when the entry was written.
     started_ms : int or None
--- a/packages/gateway/plantainshed_gateway/queueing.py
+++ b/packages/gateway/plantainshed_gateway/queueing.py
@@ -1,9 +1,9 @@
 """Admission by expected queueing time at a target.
 
-When a pool gets more requests than it can run, every queue fills up, and all
-requests are answered late or time out, although the pool runs as many as before.
-Requests that would be answered too late are therefore refused at once. The others
-stay in time, and the refused callers are told when to retry.
+When a pool gets more requests than it can run, every queue fills up, and all requests
+are answered late or time out, although the pool runs as many as before. Requests that
+would be answered too late are therefore refused at once. The others are answered in
+time, and the refused callers are told when to retry.
 """
 
 import trio
--- a/packages/gateway/plantainshed_gateway/quota.py
+++ b/packages/gateway/plantainshed_gateway/quota.py
@@ -1,13 +1,14 @@
 """Rate limiting of workspaces across all VMs.
 
-The load this is designed for: one workspace sends several times its rate, unevenly
-spread over the VMs, while other workspaces stay within theirs and must not be refused.
+This is designed for a workspace that sends several times its rate, unevenly spread over
+the VMs, while other workspaces stay within their rates and must not be refused.
 
 A quota applies to windows. In any window of `quota_window_s` seconds, a workspace may
 send its rate times that length plus its burst. Each VM that holds a share (see
 `holders`) runs a token bucket that refills at its share of that amount and whose
 capacity is at most a fraction of the tolerance on top of it. Therefore no window admits
-more than the quota plus the tolerance. The other VMs request each token from a holder.
+more than the quota plus the tolerance. The other VMs request each token from a holder;
+see `loans`.
 
 The capacity of the buckets is divided partly evenly and partly in proportion to the
 shares. If the holders count few requests, it is divided entirely evenly. When a
@@ -53,7 +54,7 @@
 # The even fraction if a holder counts fewer than `LOW_TRAFFIC_REQUESTS` requests of a
 # quota in `DEMAND_AVERAGING_S`. Such counts are too small to predict where the next
 # requests arrive. With a larger even fraction, most requests find a token locally or on
-# a near VM.
+# a VM of the same region.
 EVEN_FRACTION_LOW_TRAFFIC = 0.5
 LOW_TRAFFIC_REQUESTS = 4.0
 # Fraction of the tolerance that buckets may hold: the maximum number of tokens on all
--- a/packages/gateway/plantainshed_gateway/registry.py
+++ b/packages/gateway/plantainshed_gateway/registry.py
@@ -16,12 +16,13 @@
 EXPIRY_GRACE_S = 1.8
 # Entries of a pool that must disappear at once, as a fraction of the pool and as
 # a number, before they count as expired rather than removed. Entries that were
-# marked as leaving are not counted. Targets are replaced and crash one or a few
+# marked as draining are not counted. Targets are replaced and crash one or a few
 # at a time, so a larger loss points to the store.
 MASS_EXPIRY_FRACTION = 0.34
 MASS_EXPIRY_MIN_TARGETS = 3
-# Consecutive failures after which a target is ejected, and the length of the
-# first ejection. One failure may be a single lost response.
+# Consecutive failures after which a target is ejected, and the duration of its first
+# ejection. An ejected target gets no requests. One failure may be a single lost
+# response.
 FAILURES_TO_EJECT = 3
 INITIAL_EJECTION_S = 1.0
 MAX_EJECTION_S = 8.0
@@ -163,7 +164,7 @@
         self.generation = 0
         self._by_pool: dict[str, list[TargetState]] = {}
         self._is_first_update = True
-        # When the last target's share of objects stops growing.
+        # When the shares of objects of all targets have reached their full size.
         self.ramps_until = float("-inf")
         self._next_grace_end = inf
 
@@ -285,7 +286,10 @@
             self._by_pool.setdefault(entry.pool, []).append(state)
 
     def eligible(self, pool: str, home_regions: frozenset[str]) -> list[TargetState]:
-        """Return the targets of a pool that may get new work, ejected or not."""
+        """Return the targets of a pool that may get new requests.
+
+        Draining and evacuated targets are excluded, ejected ones are not.
+        """
         if trio.current_time() >= self._next_grace_end:
             self.drop_expired()
         states = self._by_pool.get(pool, [])
@@ -298,7 +302,7 @@
         ]
 
     def usable(self, pool: str, home_regions: frozenset[str]) -> list[TargetState]:
-        """Return the targets of a pool to use now.
+        """Return the healthy targets of a pool, which are those not ejected.
 
         If more than half of the pool is ejected, all of its targets are returned,
         so that false failure detections cannot empty a pool.
--- a/packages/gateway/plantainshed_gateway/replication.py
+++ b/packages/gateway/plantainshed_gateway/replication.py
@@ -1,11 +1,11 @@
 """Replicates the store's collections from the store or from peers.
 
 `Follower.run` lists a collection once. After that, a few VMs of each failure domain
-watch the store and the other VMs fetch the changes from them: each watch costs a
-call, and the store's rate limits grow more slowly than the fleet. The store may
-reject one VM while it still serves others. Heartbeats and domain news therefore
-carry the newest revision that a VM knows, and `catch_up` fetches up to that revision
-from a peer. A replica never returns to an older revision.
+watch the store and the other VMs fetch the changes from them: each watch costs a call,
+and the store's rate limits grow more slowly than the fleet. The store may reject one VM
+while it still serves others. Heartbeats and domain summaries therefore carry the newest
+revision that a VM knows, and `catch_up` fetches up to that revision from a peer. A
+replica never returns to an older revision.
 """
 
 from collections import deque
@@ -36,8 +36,8 @@
 # short compared with the 2 s in which a change must be in force.
 PEER_GRACE_S = 0.25
 # The same grace period for a VM that gets changes from the speakers of its failure
-# domain. News of other domains arrives half a second after theirs, so a change
-# that is still missing then did not come from the speakers.
+# domain. Summaries of other domains arrive half a second after the speakers'
+# announcements, so a change that is still missing then did not come from the speakers.
 DELEGATED_GRACE_S = 0.5
 # Maximum number of peers from which one collection is fetched at the same time.
 MAX_CONCURRENT_FETCHES = 2
@@ -90,7 +90,7 @@
 
     def apply_snapshot(self, snapshot: Snapshot) -> bool:
         """Replace the copy by a newer snapshot; return whether anything changed."""
-        # This also holds for an older snapshot: the copy is complete beyond it.
+        # An older snapshot also confirms the copy, which is then already newer.
         self.is_confirmed = True
         if snapshot.revision < self.revision:
             return False
@@ -190,7 +190,7 @@
         self._has_waited_for_heartbeats = False
         self._watch_scope: trio.CancelScope | None = None
         self._is_watch_superseded = False
-        # Peers with a pending fetch, and when each request is or was sent.
+        # Peers with a pending fetch, and when its request is or was due to be sent.
         self._fetch_started_at: dict[str, float] = {}
 
     async def run(self):
--- a/packages/gateway/plantainshed_gateway/retry_budget.py
+++ b/packages/gateway/plantainshed_gateway/retry_budget.py
@@ -1,9 +1,9 @@
 """Budget for retries, by pool.
 
-Without a budget, a pool whose targets fail would get every request twice just when it
-has the least capacity. All VMs together may retry a fixed ratio of the pool's
-requests plus a fixed number. Each VM applies the ratio to the requests that it
-counts itself, and gets an equal share of the fixed number.
+Without a budget, a pool whose targets fail would get every request twice when it has
+the least capacity. All VMs together may retry a fixed ratio of the pool's requests plus
+a fixed number. Each VM applies the ratio to the requests that it counts itself, and
+gets an equal share of the fixed number.
 """
 
 from collections import defaultdict, deque
--- a/packages/gateway/plantainshed_gateway/serving.py
+++ b/packages/gateway/plantainshed_gateway/serving.py
@@ -42,8 +42,8 @@
 # to the store. If it were refused at once, the caller would retry and reach other
 # VMs that are starting too.
 MAX_STARTUP_WAIT_S = 0.4
-# Time after the start of this VM after which requests no longer wait for it to become
-# ready. The store is then considered unresponsive, and requests are refused at once.
+# Requests wait for this VM to become ready only during this time after its start.
+# Later, the store is considered unresponsive, and requests are refused at once.
 STARTUP_S = 1.2
 # Retry-after while this VM stops. Look-ups already name other VMs.
 STOPPING_RETRY_AFTER_S = 0.05
--- a/packages/gateway/plantainshed_gateway/settings.py
+++ b/packages/gateway/plantainshed_gateway/settings.py
@@ -58,7 +58,8 @@
         Window in which a workspace's requests are counted, and the allowed excess
         over its rate and burst, as a fraction plus a fixed number.
     cold_over, cold_slack
-        The same allowed excess for requests per second to a cold target.
+        Limit of requests per second to a cold target, as a multiple of the pool's
+        `warmup_per_s` plus a fixed number.
     """
 
     stop_within_s: float
--- a/packages/gateway/plantainshed_gateway/speakers.py
+++ b/packages/gateway/plantainshed_gateway/speakers.py
@@ -1,10 +1,10 @@
 """Exchange of summaries between failure domains by elected speakers.
 
-The load this is designed for: a fleet in which each VM would send everything to each
-other VM. With 80 VMs and 80 workspaces, that was 100 datagrams per second and VM, 2
-Mbit/s in each direction, and four fifths of all bytes between regions. Instead, two VMs
-of each domain exchange summaries with two VMs of each other domain and relay them
-inside their own.
+Direct exchange between all VMs would be too expensive. With 80 VMs and 80 workspaces,
+it took 100 datagrams per second and VM, 2 Mbit/s in each direction, and caused four
+fifths of all bytes between regions.
+Instead, two VMs of each domain exchange summaries with two VMs of each other domain and
+relay them inside their own.
 
 All VMs compute the same speakers from the set of live VMs, with a preference for VMs
 with high link bandwidth. There are two speakers, and each sends to the speaker of the
@@ -69,9 +69,9 @@
         return self.members.own.vm in self.names()
 
     def is_store_watched_by_speakers(self) -> bool:
-        """Return whether another VM watches the store on behalf of this one.
+        """Return whether a speaker watches the store on behalf of this VM.
 
-        That is the case if this VM is not a speaker and the store answers a speaker.
+        True if this VM is not a speaker and the store answers at least one speaker.
         """
         names = self.names()
         if self.members.own.vm in names:
@@ -80,9 +80,9 @@
         return any(table[name].heartbeat.is_store_reachable for name in names)
 
     def is_store_poller(self) -> bool:
-        """Return whether this VM is the speaker that polls the store.
+        """Return whether this VM polls the store for its failure domain.
 
-        That is the case if the store answers no speaker that is ranked before this VM.
+        True if it is a speaker and the store answers no speaker ranked before it.
         """
         for name in self.names():
             if name == self.members.own.vm:
