--- a/packages/measure/plantainshed_measure/placing_model.py
+++ b/packages/measure/plantainshed_measure/placing_model.py
@@ -328,6 +328,6 @@
         address=f"{instance}:80",
         failure_domain=region,
         slots=world.slots,
-        is_leaving=False,
+        is_draining=False,
         cold_for_s=0.0,
     )
