--- a/packages/gateway/plantainshed_gateway/lookup.py
+++ b/packages/gateway/plantainshed_gateway/lookup.py
@@ -1,4 +1,4 @@
-"""Look-ups: tells callers which VMs to use."""
+"""Look-ups: returns to callers the addresses of VMs to use."""
 
 import random
 
--- a/tests/gateway/linked_fleet.py
+++ b/tests/gateway/linked_fleet.py
@@ -142,7 +142,7 @@
         self.vms = {ip: LinkedVm(self, ip, d, 1) for ip, d in self.domain_of.items()}
         for vm in self.vms.values():
             self.start(vm)
-        self.asked = self.refused = 0
+        self.requested = self.refused = 0
         self.admitted: list[float] = []
 
     def start(self, vm: LinkedVm):
@@ -179,7 +179,7 @@
 
     async def request(self, vm: LinkedVm):
         """Admit one request in the same way as the gateway."""
-        self.asked += 1
+        self.requested += 1
         wait_s = vm.quotas.admit(self.workspace)
         if wait_s is not None:
             await vm.loans.borrow(self.workspace)
@@ -221,7 +221,7 @@
     def all(self):
         return list(self.vms.values())
 
-    def most_in_window(self) -> int:
+    def peak_in_window(self) -> int:
         times, most, start = self.admitted, 0, 0
         for end, at in enumerate(times):
             while at - times[start] >= BOUNDS.quota_window_s:
@@ -238,4 +238,4 @@
     @property
     def used(self) -> float:
         """Return the fullest window as a fraction of what is allowed."""
-        return self.most_in_window() / self.allowed
+        return self.peak_in_window() / self.allowed
--- a/tests/gateway/test_connections.py
+++ b/tests/gateway/test_connections.py
@@ -109,7 +109,7 @@
         self.assertFalse(await targets.exchange(state))
 
 
-class TestSurvey(unittest.TestCase):
+class TestDistanceProber(unittest.TestCase):
     async def run_five_seconds(self, targets: Targets):
         log = DecisionLog("vm-0", "mil-a", io.StringIO())
         prober = DistanceProber(
--- a/tests/gateway/test_far_loans.py
+++ b/tests/gateway/test_far_loans.py
@@ -32,7 +32,7 @@
             self.loans[ip] = Loans(
                 vm.quotas, vm.members, self.sender(ip), vm.quotas.round_trips
             )
-        self.asked = 0
+        self.requested = 0
         self.refused = 0
         self.waits: list[float] = []
         self.admitted: list[float] = []
@@ -59,7 +59,7 @@
     async def request(self, vm):
         """Admit one request in the same way as the gateway."""
         began_at = trio.current_time()
-        self.asked += 1
+        self.requested += 1
         wait_s = vm.quotas.admit(self.workspace)
         if wait_s is not None:
             await self.loans[vm.ip].borrow(self.workspace)
@@ -81,7 +81,7 @@
                 self.nursery.start_soon(self.request, rng.choice(self.vms))
             await trio.sleep(STEP_S)
 
-    def most_in_window(self) -> int:
+    def peak_in_window(self) -> int:
         times = self.admitted
         return max(
             sum(at <= other < at + BOUNDS.quota_window_s for other in times)
@@ -99,17 +99,17 @@
     async def test_small_workspace_within_its_rate_is_not_refused(self):
         """Guards against loan timeouts shorter than the network's round trip."""
         for one_way_s in ONE_WAYS_S:
-            asked = refused = 0
+            requested = refused = 0
             for seed in range(4):
                 async with trio.open_nursery() as nursery:
                     fleet = FarFleet(one_way_s, nursery)
                     await fleet.play(12, 0.0)
                     await fleet.play(30, SMALL.rate_per_s / 1.6, seed)
                     await trio.sleep(2)
-                asked += fleet.asked
+                requested += fleet.requested
                 refused += fleet.refused
-            self.assertGreater(asked, 400)
-            self.assertLessEqual(refused / asked, 0.01, one_way_s)
+            self.assertGreater(requested, 400)
+            self.assertLessEqual(refused / requested, 0.01, one_way_s)
 
     @on_mock_clock
     async def test_few_requests_wait_for_a_far_loan(self):
@@ -159,7 +159,7 @@
                     await fleet.play(12, workspace.rate_per_s / 4)
                     await fleet.play(20, workspace.rate_per_s * 6)
                     await trio.sleep(2)
-                self.assertLessEqual(fleet.most_in_window(), allowed(workspace))
+                self.assertLessEqual(fleet.peak_in_window(), allowed(workspace))
 
 
 class TestLateLoans(unittest.TestCase):
--- a/tests/gateway/test_freshness_poller.py
+++ b/tests/gateway/test_freshness_poller.py
@@ -27,11 +27,11 @@
     ----------
     is_silent : bool
         Whether new calls are never answered.
-    is_refusing : bool
+    is_rejecting : bool
         Whether new calls are rejected immediately.
     unanswered : set of Collection
         Collections whose pending watches are never answered.
-    takes_watches : bool
+    accepts_watches : bool
         Whether watches are accepted instead of rejected immediately.
     oldest : int
         Changes up to this revision are no longer available.
@@ -44,9 +44,9 @@
         self.history: list[tuple[Collection, Change]] = []
         self.changed = trio.Event()
         self.is_silent = False
-        self.is_refusing = False
+        self.is_rejecting = False
         self.unanswered: set[Collection] = set()
-        self.takes_watches = True
+        self.accepts_watches = True
         self.watches = 0
         self.oldest = 0
         self.lagging_at: dict[Collection, int] = {}
@@ -77,7 +77,7 @@
         else:
             self.polls.append(collection)
         await self._answer(wait_s)
-        if wait_s and not self.takes_watches:
+        if wait_s and not self.accepts_watches:
             raise StoreUnavailable("rejected")
         if wait_s and collection in self.unanswered:
             await trio.sleep(wait_s + CALL_TIMEOUT_S)
@@ -106,7 +106,7 @@
         )
 
     async def _answer(self, wait_s=0.0):
-        if self.is_refusing:
+        if self.is_rejecting:
             await trio.sleep(ANSWER_S)
             raise StoreUnavailable("rejected")
         if self.is_silent:
@@ -304,12 +304,12 @@
     async def test_rejected_polls_back_off(self):
         """Without backoff, polls would load an overloaded store ten times a second."""
         async with running_vm() as vm:
-            vm.store.is_refusing = True
+            vm.store.is_rejecting = True
             await trio.sleep(INTERVAL_S + 2 * MAX_RETRY_DELAY_S)
             vm.store.polls.clear()
             await trio.sleep(20)
             self.assertLessEqual(len(vm.store.polls), 20 / MAX_RETRY_DELAY_S)
-            vm.store.is_refusing = False
+            vm.store.is_rejecting = False
             await trio.sleep(MAX_RETRY_DELAY_S + 0.2)
             self.assertFalse(vm.poller.is_store_unreachable)
 
@@ -317,7 +317,7 @@
     async def test_rejected_watches_back_off_while_polls_are_answered(self):
         """An answered poll must not reset the backoff of rejected watches."""
         async with running_vm() as vm:
-            vm.store.takes_watches = False
+            vm.store.accepts_watches = False
             for follower in vm.followers.values():
                 follower.restart_watch()
             await trio.sleep(INTERVAL_S)
--- a/tests/gateway/test_limits.py
+++ b/tests/gateway/test_limits.py
@@ -42,7 +42,7 @@
 
 
 class TestColdTargets(unittest.TestCase):
-    async def most_in_a_second(self, count: int) -> int:
+    async def peak_in_a_second(self, count: int) -> int:
         names = [f"vm-{n}" for n in range(count)]
         vms = [ColdTargets(BOUNDS, name) for name in names]
         state = TargetState(make_entry("i-cold"))
@@ -65,7 +65,7 @@
         """
         bound = 15 * 1.5 + 5
         for count in (1, 12, 80):
-            most = await self.most_in_a_second(count)
+            most = await self.peak_in_a_second(count)
             self.assertLessEqual(most, bound, count)
             self.assertGreaterEqual(most, 5, count)
 
--- a/tests/gateway/test_loans.py
+++ b/tests/gateway/test_loans.py
@@ -34,14 +34,14 @@
             for quotas, members in zip(self.quotas, self.members, strict=True)
         ]
         self.drops_loans = False
-        self.asked = 0
+        self.token_request_count = 0
 
     async def send(self, message, ip):
         receiver = self.loans[int(ip[-1])]
         message = decode(encode(message))
         await trio.sleep(0.012)
         if isinstance(message, TokenRequest):
-            self.asked += 1
+            self.token_request_count += 1
             await receiver.on_request(message, f"10.0.0.{message.vm[-1]}")
         elif isinstance(message, TokenLoan) and not self.drops_loans:
             receiver.on_loan(message)
@@ -49,7 +49,7 @@
     def exchange_heartbeats(self):
         for n in (0, 1):
             heartbeat = make_heartbeat(
-                f"vm-{n}", 2 + self.asked, usage=self.quotas[n].usage()
+                f"vm-{n}", 2 + self.token_request_count, usage=self.quotas[n].usage()
             )
             self.members[1 - n].record_heartbeat(heartbeat, f"10.0.0.{n}")
         for quotas in self.quotas:
@@ -120,4 +120,4 @@
         drain(pair.quotas[1])
         for _ in range(50):
             await pair.loans[0].borrow(WORKSPACE)
-        self.assertLessEqual(pair.asked, 2)
+        self.assertLessEqual(pair.token_request_count, 2)
--- a/tests/gateway/test_quota.py
+++ b/tests/gateway/test_quota.py
@@ -35,7 +35,7 @@
             quotas.workspaces = {WORKSPACE.name: WORKSPACE}
         self.members = [vm.members for vm in self.vms]
         self.admitted: list[float] = []
-        self.asked: list[float] = []
+        self.requested: list[float] = []
 
     def exchange_heartbeats(self, groups):
         """Exchange heartbeats and summaries within groups of connected VMs."""
@@ -46,7 +46,7 @@
         self.gossip.tick()
 
     def send_request(self, vm: int):
-        self.asked.append(trio.current_time())
+        self.requested.append(trio.current_time())
         if self.quotas[vm].admit(WORKSPACE) is None or self.borrows_token(vm):
             self.admitted.append(trio.current_time())
 
@@ -77,7 +77,7 @@
                 self.send_request(choose(rng))
             await trio.sleep(STEP_S)
 
-    def most_in_window(self) -> int:
+    def peak_in_window(self) -> int:
         times, most, start = self.admitted, 0, 0
         for end, at in enumerate(times):
             while at - times[start] > BOUNDS.quota_window_s:
@@ -94,7 +94,7 @@
     async def test_no_window_exceeds_the_quota(self):
         fleet = Fleet(12)
         await fleet.play(30, 300, lambda rng: rng.randrange(12))
-        self.assertLessEqual(fleet.most_in_window(), ALLOWED)
+        self.assertLessEqual(fleet.peak_in_window(), ALLOWED)
         self.assertGreater(len(fleet.admitted) / 30, 70)
 
     @on_mock_clock
@@ -108,7 +108,7 @@
         for turn in range(6):
             near = range(0, 4) if turn % 2 else range(8, 12)
             await fleet.play(4, 300, lambda rng, near=near: rng.choice(near))
-        self.assertLessEqual(fleet.most_in_window(), ALLOWED)
+        self.assertLessEqual(fleet.peak_in_window(), ALLOWED)
 
     @on_mock_clock
     async def test_quota_holds_when_the_fleet_is_partitioned(self):
@@ -121,7 +121,7 @@
         await fleet.play(6, 200, lambda rng: rng.randrange(12))
         halves = [range(0, 6), range(6, 12)]
         await fleet.play(20, 400, lambda rng: rng.randrange(12), halves)
-        self.assertLessEqual(fleet.most_in_window(), ALLOWED)
+        self.assertLessEqual(fleet.peak_in_window(), ALLOWED)
 
     @on_mock_clock
     async def test_quota_holds_when_every_vm_is_isolated(self):
@@ -129,7 +129,7 @@
         await fleet.play(6, 200, lambda rng: rng.randrange(12))
         alone = [[n] for n in range(12)]
         await fleet.play(20, 400, lambda rng: rng.randrange(12), alone)
-        self.assertLessEqual(fleet.most_in_window(), ALLOWED)
+        self.assertLessEqual(fleet.peak_in_window(), ALLOWED)
 
 
 class TestDemandStep(unittest.TestCase):
@@ -152,7 +152,7 @@
     async def test_no_window_exceeds_the_quota(self):
         for count, before, after in ((36, 60, 420), (36, 20, 420), (78, 30, 900)):
             fleet = await self.play_step(count, before, after)
-            self.assertLessEqual(fleet.most_in_window(), ALLOWED)
+            self.assertLessEqual(fleet.peak_in_window(), ALLOWED)
 
     @on_mock_clock
     async def test_quota_is_used_fully_after_the_step(self):
@@ -171,11 +171,11 @@
         """
         fleet = Fleet(12)
         await fleet.play(3, 60, lambda rng: rng.randrange(3))
-        before = len(fleet.asked), len(fleet.admitted)
+        before = len(fleet.requested), len(fleet.admitted)
         await fleet.play(20, 60, lambda rng: rng.randrange(3))
-        asked = len(fleet.asked) - before[0]
+        requested = len(fleet.requested) - before[0]
         admitted = len(fleet.admitted) - before[1]
-        self.assertGreater(admitted / asked, 0.99)
+        self.assertGreater(admitted / requested, 0.99)
 
     @on_mock_clock
     async def test_workspace_without_a_rate_is_unlimited(self):
--- a/tests/gateway/test_speakers.py
+++ b/tests/gateway/test_speakers.py
@@ -133,7 +133,7 @@
 class TestQuotasOverDomains(unittest.TestCase):
     """One workspace sends several times its rate to VMs of all domains."""
 
-    async def most_in_window(self, fleet, seconds, rate, choose):
+    async def peak_in_window(self, fleet, seconds, rate, choose):
         admitted = []
         rng = random.Random(3)
         vms = list(fleet.vms.values())
@@ -151,7 +151,7 @@
     async def test_no_window_exceeds_the_quota(self):
         fleet = GossipFleet(SIX_DOMAINS)
         await run(fleet, 8)
-        most = await self.most_in_window(
+        most = await self.peak_in_window(
             fleet, 25, 400, lambda rng, vms, step: rng.choice(vms)
         )
         self.assertLessEqual(most, ALLOWED)
@@ -166,16 +166,16 @@
             part = vms[:8] if step // 80 % 2 else vms[16:]
             return rng.choice(part)
 
-        self.assertLessEqual(await self.most_in_window(fleet, 25, 400, choose), ALLOWED)
+        self.assertLessEqual(await self.peak_in_window(fleet, 25, 400, choose), ALLOWED)
 
     @on_mock_clock
     async def test_quota_holds_when_domains_are_partitioned(self):
         fleet = GossipFleet(SIX_DOMAINS)
         await run(fleet, 8)
         pick = lambda rng, vms, step: rng.choice(vms)  # noqa: E731
-        await self.most_in_window(fleet, 5, 400, pick)
+        await self.peak_in_window(fleet, 5, 400, pick)
         fleet.is_cut = lambda a, b: a.domain != b.domain
-        self.assertLessEqual(await self.most_in_window(fleet, 25, 400, pick), ALLOWED)
+        self.assertLessEqual(await self.peak_in_window(fleet, 25, 400, pick), ALLOWED)
 
 
 class TestSmallWorkspace(unittest.TestCase):
@@ -197,20 +197,20 @@
             )
         await run(fleet, 6)
         rng = random.Random(11)
-        refused = asked = 0
+        refused = requested = 0
         for step in range(30 * 20):
             if step % 10 == 0:
                 fleet.tick()
             if rng.random() < 0.5:
                 vm = rng.choice(list(fleet.vms.values()))
-                asked += step > 100
+                requested += step > 100
                 wait_s = vm.quotas.admit(workspace)
                 if wait_s is not None:
                     await loans[vm.ip].borrow(workspace)
                     wait_s = vm.quotas.take_token(workspace)
                 refused += wait_s is not None and step > 100
             await trio.sleep(0.05)
-        self.assertLess(refused / asked, 0.01)
+        self.assertLess(refused / requested, 0.01)
 
 
 def make_send(own_ip, loans):
--- a/tests/gateway/test_state.py
+++ b/tests/gateway/test_state.py
@@ -72,9 +72,9 @@
         """
         replica = Replica(Collection.TARGETS)
         replica.apply_snapshot(Snapshot((Item("a", 5, {}),), 7))
-        told = Changes((Change(Item("a", 8, {}), True),), 8)
-        self.assertTrue(replica.apply_changes(told))
-        self.assertFalse(replica.apply_changes(told))
+        changes = Changes((Change(Item("a", 8, {}), True),), 8)
+        self.assertTrue(replica.apply_changes(changes))
+        self.assertFalse(replica.apply_changes(changes))
         self.assertEqual(len(replica.recent), 1)
 
     @on_mock_clock
@@ -159,13 +159,13 @@
             UnresponsiveStore(), Collection.TARGETS, lambda c: None, RecordingLog()
         )
         follower.replica.apply_snapshot(Snapshot((), 7))
-        told = Changes((Change(Item("b", 12, "newer"), False),), 12)
+        changes = Changes((Change(Item("b", 12, "newer"), False),), 12)
 
         async def fetch(peer, collection, after):
             if peer == "frozen":
                 await trio.sleep(1.0)
                 raise StoreUnavailable("no answer")
-            return told
+            return changes
 
         async def poll_peer(peer):
             while True:
