--- a/packages/gateway/plantainshed_gateway/members.py
+++ b/packages/gateway/plantainshed_gateway/members.py
@@ -30,8 +30,8 @@
 # is ignored. It is slightly shorter than the second between two summaries of one
 # speaker.
 DUPLICATE_SUMMARY_S = 0.9
-# Time for which a listed VM that has not been heard yet is expected to send its first
-# heartbeat. It covers the start of a VM and the delivery of its domain's summary.
+# Time for which a listed VM without a heartbeat is expected to send its first one. It
+# covers the start of a VM and the delivery of its domain's summary.
 FIRST_HEARTBEAT_WAIT_S = 4.0
 # Time for which the list of ready VMs is cached.
 READY_CACHE_S = 0.1
@@ -297,7 +297,7 @@
         return sum(1 for member in self.table.values() if member.is_expected)
 
     def heard_count(self) -> int:
-        """Return the number of VMs ever heard, including this one."""
+        """Return the number of VMs that ever sent a heartbeat, including this one."""
         return 1 + sum(1 for m in self.table.values() if m.heartbeat is not None)
 
     @property
--- a/packages/gateway/plantainshed_gateway/peer_messages.py
+++ b/packages/gateway/plantainshed_gateway/peer_messages.py
@@ -21,8 +21,8 @@
 
 # Minimum time between two member lists sent to the same VM.
 MEMBER_LIST_PAUSE_S = 2.0
-# Minimum time between two announcements that are triggered by VMs heard for the first
-# time.
+# Minimum time between two announcements that are triggered by first heartbeats of other
+# VMs.
 ANNOUNCE_PAUSE_S = 0.1
 
 
--- a/packages/gateway/plantainshed_gateway/quota.py
+++ b/packages/gateway/plantainshed_gateway/quota.py
@@ -201,9 +201,10 @@
         self.share = min(share, max(self.share, least))
 
     def update_capacity(self, even: float, even_level: float):
-        """Divide `max_tokens` among the buckets.
+        """Set this bucket's fraction of `max_tokens`.
 
-        The fraction `even_level` is divided evenly, the rest by share.
+        The fraction is a weighted mean of an even division and the share: `even` is the
+        result of the even division and `even_level` its weight.
         """
         self.capacity_fraction = even_level * even + (1.0 - even_level) * self.share
 
@@ -418,11 +419,11 @@
         )
 
     def _heard_fraction(self) -> float:
-        """Return the fraction of a quota that VMs heard so far may divide.
+        """Return the fraction of a quota that VMs with known heartbeats may divide.
 
         When all VMs start at once, each receives the first heartbeats of the others one
-        after the other. An even share is set aside for each VM that was listed and has
-        not been heard yet.
+        after the other. An even share is set aside for each listed VM whose first
+        heartbeat has not arrived yet.
         """
         heard = self.members.heard_count()
         if not self.members.is_listed:
