--- a/tests/gateway/test_quota.py
+++ b/tests/gateway/test_quota.py
@@ -106,8 +106,8 @@
         """
         fleet = Fleet(12)
         for turn in range(6):
-            near = range(0, 4) if turn % 2 else range(8, 12)
-            await fleet.play(4, 300, lambda rng, near=near: rng.choice(near))
+            receiving_vms = range(0, 4) if turn % 2 else range(8, 12)
+            await fleet.play(4, 300, lambda rng, vms=receiving_vms: rng.choice(vms))
         self.assertLessEqual(fleet.peak_in_window(), ALLOWED)
 
     @on_mock_clock
--- a/tests/gateway/test_state_applier.py
+++ b/tests/gateway/test_state_applier.py
@@ -20,7 +20,7 @@
 from tests.support import on_mock_clock
 
 # Time for a watch response to a peer, the peer's heartbeat, and its fetch response.
-ANSWERS_S = 0.1
+PROPAGATION_S = 0.1
 
 
 class VersionDecoder:
@@ -85,7 +85,7 @@
         apply_targets(applier, 5, "i-0", "i-1")
         apply_targets(applier, 6, "i-1")
         self.assertEqual(len(applier.registry.usable("calendario", frozenset())), 2)
-        await trio.sleep(2.0 - PEER_GRACE_S - ANSWERS_S)
+        await trio.sleep(2.0 - PEER_GRACE_S - PROPAGATION_S)
         self.assertEqual(len(applier.registry.usable("calendario", frozenset())), 1)
 
     @on_mock_clock
