--- a/packages/gateway/plantainshed_gateway/gateway.py
+++ b/packages/gateway/plantainshed_gateway/gateway.py
@@ -12,9 +12,10 @@
 from .connections import TargetConnections
 from .context import Context
 from .datagrams import Message
+from .distance_prober import DistanceProber
 from .errors import BadRequest, ItemExists, StoreUnavailable
 from .forwarding import Forwarder
-from .freshness import FreshnessPoller, poll_interval_s
+from .freshness_poller import FreshnessPoller, poll_interval_s
 from .heartbeats import Heartbeat, VmState
 from .loans import Loans
 from .lookup import LookupTable
@@ -34,14 +35,13 @@
 from .serving import Serving
 from .settings import Settings
 from .speakers import Speakers
-from .state_taker import StateApplier
-from .survey import DistanceProber
+from .state_applier import StateApplier
 
 FOLLOWED = (Collection.CONFIGURATION, Collection.TARGETS, Collection.EVACUATIONS)
-UPKEEP_S = 0.25
+UPKEEP_INTERVAL_S = 0.25
 # Interval between reads of the VM list in the store. Heartbeats announce new VMs
 # sooner; the list finds VMs that were partitioned from this one since startup.
-LIST_VMS_S = 30.0
+VM_LIST_INTERVAL_S = 30.0
 REGISTER_RETRY_S = 1.0
 # Maximum time after a pause in which callers are refused. If the store is still
 # unavailable then, this VM serves with its last known state, as it would have
@@ -62,7 +62,7 @@
 
     def __init__(self, context: Context):
         settings = context.settings
-        surroundings = context.surroundings
+        platform_adapter = context.platform_adapter
         self.context = context
         self.log = context.log
         self.state = VmState.STARTING
@@ -89,7 +89,7 @@
         )
         self.peers.seeds = _ips(settings.seeds)
         self.loans = Loans(self.quotas, self.members, self.peers.send, self.round_trips)
-        self.admission = Admission(surroundings.wire, self.quotas, self.loans)
+        self.admission = Admission(platform_adapter.wire, self.quotas, self.loans)
         self.queues = QueueLimits(self.round_trips)
         self.placement = Placement(
             settings.region,
@@ -99,7 +99,9 @@
             self.connections,
             self.round_trips,
         )
-        self.forwarder = Forwarder(surroundings.wire, self.connections, context.metrics)
+        self.forwarder = Forwarder(
+            platform_adapter.wire, self.connections, context.metrics
+        )
         self.distance_prober = DistanceProber(
             self.registry, self.connections, self.round_trips, context.log
         )
@@ -116,19 +118,19 @@
         self.lookup = LookupTable(self.members, settings.bounds.longest_ttl_s)
         self.followers = {
             collection: Follower(
-                surroundings.store,
+                platform_adapter.store,
                 collection,
                 self._on_change,
                 context.log,
-                self.speakers.do_speakers_reach_store,
+                self.speakers.is_store_watched_by_speakers,
             )
             for collection in FOLLOWED
         }
-        self.freshness = FreshnessPoller(
-            self.followers, self.speakers.is_first_to_reach_store, settings.vm
+        self.freshness_poller = FreshnessPoller(
+            self.followers, self.speakers.is_store_poller, settings.vm
         )
         self.state_applier = StateApplier(
-            surroundings.decoder,
+            platform_adapter.decoder,
             self.followers,
             self.admission,
             self.registry,
@@ -174,7 +176,7 @@
             self._nursery = self.messages.nursery = nursery
             for follower in self.followers.values():
                 nursery.start_soon(follower.run)
-            nursery.start_soon(self.freshness.run, self._poll_interval_s)
+            nursery.start_soon(self.freshness_poller.run, self._poll_interval_s)
             nursery.start_soon(self.peers.send_heartbeats)
             nursery.start_soon(self.peers.receive)
             nursery.start_soon(self._sync_vms)
@@ -199,7 +201,7 @@
             self.state = VmState.READY
             self.serving.is_ready.set()
             if self._nursery is not None:
-                # From this heartbeat on, other VMs reserve a share of the quotas for
+                # After this heartbeat, other VMs reserve a share of the quotas for
                 # this VM and include it in look-ups.
                 self._nursery.start_soon(self.peers.send_now)
             self.log.event(
@@ -210,7 +212,9 @@
 
     # Communication with other VMs.
 
-    def _own_heartbeat(self, newest: dict, use: dict, known: int = 1) -> Heartbeat:
+    def _own_heartbeat(
+        self, newest_revisions: dict, usage: dict, known_vm_count: int = 1
+    ) -> Heartbeat:
         settings = self.context.settings
         self.heartbeat_number += 1
         return Heartbeat(
@@ -220,14 +224,14 @@
             incarnation=self.context.incarnation,
             number=self.heartbeat_number,
             state=self.state,
-            known_vm_count=known,
+            known_vm_count=known_vm_count,
             weight=settings.link_mbps,
             is_store_reachable=all(f.is_connected for f in self.followers.values()),
             caller_address=settings.listen.callers,
             control_address=settings.listen.control,
-            newest_revisions=newest,
-            usage=use,
-            deaths=self.poison.recent_crashes(),
+            newest_revisions=newest_revisions,
+            usage=usage,
+            crashes=self.poison.recent_crashes(),
         )
 
     def _make_heartbeat(self) -> Heartbeat:
@@ -244,12 +248,12 @@
         """Register this VM in the store, and periodically list the other VMs."""
         is_registered = False
         while True:
-            pause_s = LIST_VMS_S
+            pause_s = VM_LIST_INTERVAL_S
             try:
                 if not is_registered:
                     await self._register()
                     is_registered = True
-                snapshot = await self.context.surroundings.store.list(
+                snapshot = await self.context.platform_adapter.store.list(
                     Collection.VMS, allow_stale=True
                 )
                 is_first = not self.members.is_listed
@@ -273,7 +277,7 @@
 
     async def _register(self):
         settings = self.context.settings
-        store = self.context.surroundings.store
+        store = self.context.platform_adapter.store
         value = {"ip": settings.ip, "failure_domain": settings.failure_domain}
         try:
             await store.create(Collection.VMS, settings.vm, value)
@@ -288,8 +292,8 @@
     async def _upkeep(self):
         pauses = PauseDetector()
         while True:
-            await trio.sleep(UPKEEP_S)
-            paused_s = pauses.check(UPKEEP_S)
+            await trio.sleep(UPKEEP_INTERVAL_S)
+            paused_s = pauses.check(UPKEEP_INTERVAL_S)
             if paused_s:
                 await self._catch_up_after(paused_s)
             self.quotas.recompute_shares()
@@ -333,7 +337,7 @@
 
     async def answer_lookup(self, exchange: Exchange):
         """Answer a caller's look-up with the addresses of VMs to use."""
-        wire = self.context.surroundings.wire
+        wire = self.context.platform_adapter.wire
         try:
             lookup = wire.read_lookup(exchange.request)
         except BadRequest as error:
--- a/packages/gateway/plantainshed_gateway/members.py
+++ b/packages/gateway/plantainshed_gateway/members.py
@@ -30,8 +30,8 @@
 # is ignored. It is slightly shorter than the second between two summaries of one
 # speaker.
 DUPLICATE_SUMMARY_S = 0.9
-# Time for which a listed VM that has not been heard yet is expected to send its first
-# heartbeat. It covers the start of a VM and the delivery of its domain's summary.
+# Time for which a listed VM without a heartbeat is expected to send its first one. It
+# covers the start of a VM and the delivery of its domain's summary.
 FIRST_HEARTBEAT_WAIT_S = 4.0
 # Time for which the list of ready VMs is cached.
 READY_CACHE_S = 0.1
@@ -130,7 +130,7 @@
     demand, share : float
         Sums over the VMs that are alive.
     past_demand : float
-        The sum of demand at the moment of the view.
+        The sum of demand at the time for which the `UsageView` is computed.
     silent_share : float
         Shares of silent VMs. They may be alive behind a partition and still use them.
     """
@@ -246,7 +246,7 @@
         return version > known.latest_by_speaker.get(speaker, (-1, -1))
 
     def forget_gone(self) -> list[str]:
-        """Remove VMs that have been silent for long; return their names."""
+        """Remove VMs that have been silent for `FORGET_AFTER_S`; return their names."""
         gone = [vm for vm, member in self.table.items() if member.is_forgotten]
         for vm in gone:
             del self.table[vm]
@@ -284,7 +284,7 @@
             self._ready_vms = trio.current_time(), names
         return names
 
-    def near(self) -> list[Member]:
+    def in_own_domain(self) -> list[Member]:
         """Return the other VMs of the own failure domain, including silent ones."""
         return self.in_domain(self.own.failure_domain)
 
@@ -297,7 +297,7 @@
         return sum(1 for member in self.table.values() if member.is_expected)
 
     def heard_count(self) -> int:
-        """Return the number of VMs ever heard, including this one."""
+        """Return the number of VMs that ever sent a heartbeat, including this one."""
         return 1 + sum(1 for m in self.table.values() if m.heartbeat is not None)
 
     @property
@@ -309,45 +309,46 @@
 
     def usage_view(self, moment: float) -> "UsageView":
         """Return the current quota usage of all other VMs and their past demand."""
-        near = [m for m in self.near() if m.heartbeat is not None]
-        return UsageView(near, list(self.far.values()), moment)
+        own_domain = [m for m in self.in_own_domain() if m.heartbeat is not None]
+        return UsageView(own_domain, list(self.far.values()), moment)
 
     def oldest_heard_at(self) -> float:
         """Return when the oldest report that `usage_view` uses was sent."""
-        heard = [m.heard_at for m in self.near() if m.is_alive]
+        heard = [m.heard_at for m in self.in_own_domain() if m.is_alive]
         heard += [d.oldest_heartbeat_at for d in self.far.values() if d.is_fresh]
         return min(heard, default=trio.current_time())
 
 
 class UsageView:
-    """Quota usage of all other VMs.
+    """Quota usage of all other VMs, by workspace.
 
     Parameters
     ----------
-    near : list of Member
-        VMs of the own failure domain.
+    own_domain : list of Member
+        Other VMs of the own failure domain.
     far : list of FarDomain
+        Other failure domains.
     moment : float
         Time for which `UsageTotals.past_demand` is computed.
     """
 
-    def __init__(self, near: list[Member], far: list[FarDomain], moment: float):
-        self.near = UsageSums(near)
+    def __init__(self, own_domain: list[Member], far: list[FarDomain], moment: float):
+        self.own_domain = UsageSums(own_domain)
         self.far = [(domain.is_fresh, domain.summary.usage) for domain in far]
-        alive = [m for m in near if m.is_alive]
-        self.near_past_demand = {
+        alive = [m for m in own_domain if m.is_alive]
+        self.own_domain_past_demand = {
             m.heartbeat.vm: m.demand_history.at(moment) for m in alive
         }
         far_past_demand = [d.demand_history.at(moment) for d in far if d.is_fresh]
         self.past_demands: list[PastDemand] = [
-            *self.near_past_demand.values(),
+            *self.own_domain_past_demand.values(),
             *far_past_demand,
         ]
 
     def of(self, workspace: str) -> UsageTotals:
         """Return the totals of one workspace."""
-        near = self.near.of(workspace)
-        demand, share, silent_share = near.demand, near.share, near.silent_share
+        own = self.own_domain.of(workspace)
+        demand, share, silent_share = own.demand, own.share, own.silent_share
         for is_fresh, usages in self.far:
             usage = usages.get(workspace)
             if usage is None:
--- a/packages/gateway/plantainshed_gateway/quota.py
+++ b/packages/gateway/plantainshed_gateway/quota.py
@@ -1,13 +1,14 @@
 """Rate limiting of workspaces across all VMs.
 
-The load this is designed for: one workspace sends several times its rate, unevenly
-spread over the VMs, while other workspaces stay within theirs and must not be refused.
+This is designed for a workspace that sends several times its rate, unevenly spread over
+the VMs, while other workspaces stay within their rates and must not be refused.
 
 A quota applies to windows. In any window of `quota_window_s` seconds, a workspace may
 send its rate times that length plus its burst. Each VM that holds a share (see
 `holders`) runs a token bucket that refills at its share of that amount and whose
 capacity is at most a fraction of the tolerance on top of it. Therefore no window admits
-more than the quota plus the tolerance. The other VMs request each token from a holder.
+more than the quota plus the tolerance. The other VMs request each token from a holder;
+see `loans`.
 
 The capacity of the buckets is divided partly evenly and partly in proportion to the
 shares. If the holders count few requests, it is divided entirely evenly. When a
@@ -53,7 +54,7 @@
 # The even fraction if a holder counts fewer than `LOW_TRAFFIC_REQUESTS` requests of a
 # quota in `DEMAND_AVERAGING_S`. Such counts are too small to predict where the next
 # requests arrive. With a larger even fraction, most requests find a token locally or on
-# a near VM.
+# a VM of the same region.
 EVEN_FRACTION_LOW_TRAFFIC = 0.5
 LOW_TRAFFIC_REQUESTS = 4.0
 # Fraction of the tolerance that buckets may hold: the maximum number of tokens on all
@@ -200,9 +201,10 @@
         self.share = min(share, max(self.share, least))
 
     def update_capacity(self, even: float, even_level: float):
-        """Divide `max_tokens` among the buckets.
+        """Set this bucket's fraction of `max_tokens`.
 
-        The fraction `even_level` is divided evenly, the rest by share.
+        The fraction is a weighted mean of an even division and the share: `even` is the
+        result of the even division and `even_level` its weight.
         """
         self.capacity_fraction = even_level * even + (1.0 - even_level) * self.share
 
@@ -337,7 +339,7 @@
         starts with a different fraction of a token, so that whole tokens become
         available on different VMs evenly over time rather than on all at once.
         """
-        return tolerance * INITIAL_LEVEL_FRACTION + unit_hash(self.holders.own, name)
+        return tolerance * INITIAL_LEVEL_FRACTION + unit_hash(self.holders.own_vm, name)
 
     @property
     def _vm_count(self) -> int:
@@ -411,17 +413,17 @@
         holders = self.holders.of(name)
         return sum(
             past.of(name)
-            for vm, past in view.near_past_demand.items()
+            for vm, past in view.own_domain_past_demand.items()
             if vm not in holders
-            and self.holders.holder_for(vm, name) == self.holders.own
+            and self.holders.holder_for(vm, name) == self.holders.own_vm
         )
 
     def _heard_fraction(self) -> float:
-        """Return the fraction of a quota that VMs heard so far may divide.
+        """Return the fraction of a quota that VMs with known heartbeats may divide.
 
         When all VMs start at once, each receives the first heartbeats of the others one
-        after the other. An even share is set aside for each VM that was listed and has
-        not been heard yet.
+        after the other. An even share is set aside for each listed VM whose first
+        heartbeat has not arrived yet.
         """
         heard = self.members.heard_count()
         if not self.members.is_listed:
--- a/packages/gateway/plantainshed_gateway/speakers.py
+++ b/packages/gateway/plantainshed_gateway/speakers.py
@@ -1,10 +1,10 @@
 """Exchange of summaries between failure domains by elected speakers.
 
-The load this is designed for: a fleet in which each VM would send everything to each
-other VM. With 80 VMs and 80 workspaces, that was 100 datagrams per second and VM, 2
-Mbit/s in each direction, and four fifths of all bytes between regions. Instead, two VMs
-of each domain exchange summaries with two VMs of each other domain and relay them
-inside their own.
+Direct exchange between all VMs would be too expensive. With 80 VMs and 80 workspaces,
+it took 100 datagrams per second and VM, 2 Mbit/s in each direction, and caused four
+fifths of all bytes between regions.
+Instead, two VMs of each domain exchange summaries with two VMs of each other domain and
+relay them inside their own.
 
 All VMs compute the same speakers from the set of live VMs, with a preference for VMs
 with high link bandwidth. There are two speakers, and each sends to the speaker of the
@@ -59,7 +59,7 @@
     def names(self) -> list[str]:
         """Return the names of the speakers of this VM's failure domain."""
         own = self.members.own
-        alive = [m.heartbeat for m in self.members.near() if _is_candidate(m)]
+        alive = [m.heartbeat for m in self.members.in_own_domain() if _is_candidate(m)]
         candidates = [own, *alive] if own.state is not VmState.LEAVING else alive
         return _ranked(own.failure_domain, candidates)[:SPEAKERS_PER_DOMAIN]
 
@@ -68,10 +68,10 @@
         """Whether this VM is a speaker of its failure domain."""
         return self.members.own.vm in self.names()
 
-    def do_speakers_reach_store(self) -> bool:
-        """Return whether another VM watches the store on behalf of this one.
+    def is_store_watched_by_speakers(self) -> bool:
+        """Return whether a speaker watches the store on behalf of this VM.
 
-        That is the case if this VM is not a speaker and the store answers a speaker.
+        True if this VM is not a speaker and the store answers at least one speaker.
         """
         names = self.names()
         if self.members.own.vm in names:
@@ -79,10 +79,10 @@
         table = self.members.table
         return any(table[name].heartbeat.is_store_reachable for name in names)
 
-    def is_first_to_reach_store(self) -> bool:
-        """Return whether this VM is the speaker that polls the store.
+    def is_store_poller(self) -> bool:
+        """Return whether this VM polls the store for its failure domain.
 
-        That is the case if the store answers no speaker that is ranked before this VM.
+        True if it is a speaker and the store answers no speaker ranked before it.
         """
         for name in self.names():
             if name == self.members.own.vm:
@@ -120,11 +120,11 @@
     def make_summary(self) -> DomainSummary:
         """Return a summary of this VM's failure domain."""
         own = self.members.own
-        near = self.members.near()
+        own_domain = self.members.in_own_domain()
         now = trio.current_time()
         # This VM is included in the form in which the others see it.
         itself = Member(_ip_of(own), own.failure_domain, own, now)
-        known = [itself, *(m for m in near if m.heartbeat is not None)]
+        known = [itself, *(m for m in own_domain if m.heartbeat is not None)]
         ages = [now - member.heard_at for member in known if member.is_alive]
         names = {name for member in known for name in member.heartbeat.usage}
         sums = UsageSums(known)
@@ -139,7 +139,7 @@
             vms=tuple(_vm_summary(member, now) for member in known),
             newest_revisions=own.newest_revisions,
             usage={name: _rounded(sums.of(name)) for name in names},
-            deaths=own.deaths,
+            crashes=own.crashes,
         )
 
     def queue_for_relay(self, summary: DomainSummary):
--- a/packages/measure/plantainshed_measure/limits_model.py
+++ b/packages/measure/plantainshed_measure/limits_model.py
@@ -13,7 +13,7 @@
 
 from plantainshed_gateway.admission import Admission
 from plantainshed_gateway.errors import Refusal
-from plantainshed_gateway.gateway import LIST_VMS_S, UPKEEP_S
+from plantainshed_gateway.gateway import UPKEEP_INTERVAL_S, VM_LIST_INTERVAL_S
 from plantainshed_gateway.heartbeats import Heartbeat, VmState
 from plantainshed_gateway.loans import Loans
 from plantainshed_gateway.members import Members
@@ -182,7 +182,7 @@
 
     async def _upkeep(self):
         while True:
-            await trio.sleep(UPKEEP_S)
+            await trio.sleep(UPKEEP_INTERVAL_S)
             await self.is_resumed.wait()
             self.quotas.recompute_shares()
             self._measure_round_trips()
@@ -209,7 +209,7 @@
                 )
             if is_first:
                 await self.peers.send_now()
-            await trio.sleep(LIST_VMS_S)
+            await trio.sleep(VM_LIST_INTERVAL_S)
 
     async def _become_ready(self):
         await trio.sleep(self.fleet.rng.uniform(*START_DURATION_S))
