--- a/packages/measure/plantainshed_measure/memory_targets.py
+++ b/packages/measure/plantainshed_measure/memory_targets.py
@@ -31,7 +31,7 @@
     service_time_s: float
     is_down: bool = False
     is_draining: bool = False
-    lies_healthy: bool = False
+    reports_healthy_when_down: bool = False
     running: int = 0
     most_running: int = 0
     shed: int = 0
@@ -70,6 +70,6 @@
 
     def probe(self) -> ProbeResult:
         """Return what the health endpoint says."""
-        if self.is_down and not self.lies_healthy:
+        if self.is_down and not self.reports_healthy_when_down:
             return ProbeResult(healthy=False, draining=False, load=0.0)
         return ProbeResult(True, self.is_draining, float(self.running))
--- a/tests/entry/test_node.py
+++ b/tests/entry/test_node.py
@@ -196,7 +196,7 @@
         """
         async with running_rig() as rig:
             target = rig.targets["calendario-01"]
-            target.lies_healthy = True
+            target.reports_healthy_when_down = True
             target.crash()
             for _ in range(40):
                 response = await call(rig, "mil-a-1", "/calendario/1")
