--- a/packages/measure/plantainshed_measure/bench.py
+++ b/packages/measure/plantainshed_measure/bench.py
@@ -27,9 +27,9 @@
 LOOKUPS = 200_000
 REQUESTS = 1500
 ROUNDS = 5
-LOOKUPS_WANTED = 50_000
-MEMORY_WANTED_MB = 64
-RELAY_RATIO_WANTED = 2.5
+MIN_LOOKUPS_PER_S = 50_000
+MAX_MEMORY_MB = 64
+MAX_RELAY_RATIO = 2.5
 
 
 def large_document(blocks: int = BLOCKS) -> Document:
@@ -51,7 +51,7 @@
     return ".".join(str(address >> shift & 255) for shift in (24, 16, 8, 0)) + "/24"
 
 
-class OneDomain:
+class StubDependencies:
     """Stands in for steering and membership: the decision is what is timed."""
 
     class Identity:
@@ -79,7 +79,7 @@
         segments,
         nothing_in_force(),
     )
-    lookup = Lookup(OneDomain(), OneDomain())
+    lookup = Lookup(StubDependencies(), StubDependencies())
     lookup.in_force = in_force
     lookup._work_out = lambda pool, home, bucket: (pool, home, bucket)
     addresses = [_cidr(number * 37 % BLOCKS)[:-4] + "9" for number in range(5000)]
@@ -110,10 +110,10 @@
         bare = await nursery.start(bare_relay, target)
         entry, key = await nursery.start(entry_relay, target)
         costs = {"direct": [], "bare": [], "entry": []}
-        ways = {"direct": target, "bare": bare, "entry": entry}
+        addresses = {"direct": target, "bare": bare, "entry": entry}
         for _ in range(ROUNDS):
-            for name, address in ways.items():
-                costs[name].append(await _cost(address, key))
+            for name, address in addresses.items():
+                costs[name].append(await _measure_request(address, key))
         nursery.cancel_scope.cancel()
     direct, bare_cost, entry_cost = (
         statistics.median(costs[name]) for name in ("direct", "bare", "entry")
@@ -125,7 +125,7 @@
     }
 
 
-async def _cost(address: str, key: bytes) -> float:
+async def _measure_request(address: str, key: bytes) -> float:
     connection = await ClientConnection.open(address, 2)
     headers = [(b"authorization", b"Bearer " + key)]
     for _ in range(20):
@@ -141,16 +141,16 @@
 def main():
     """Run all benchmarks; exit with 1 when one misses what is wanted."""
     figures = {**bench_lookup(), **bench_memory(), **trio.run(bench_relay)}
-    wanted = {
-        "lookups_s": figures["lookups_s"] >= LOOKUPS_WANTED,
-        "memory_mb": figures["memory_mb"] <= MEMORY_WANTED_MB,
-        "ratio": figures["ratio"] <= RELAY_RATIO_WANTED,
+    passed = {
+        "lookups_s": figures["lookups_s"] >= MIN_LOOKUPS_PER_S,
+        "memory_mb": figures["memory_mb"] <= MAX_MEMORY_MB,
+        "ratio": figures["ratio"] <= MAX_RELAY_RATIO,
     }
     for name, value in figures.items():
-        verdict = {True: "ok", False: "MISSED", None: ""}[wanted.get(name)]
+        verdict = {True: "ok", False: "MISSED", None: ""}[passed.get(name)]
         print(f"{name:<16} {value:>12} {verdict}")
     print(json.dumps(figures))
-    sys.exit(0 if all(wanted.values()) else 1)
+    sys.exit(0 if all(passed.values()) else 1)
 
 
 if __name__ == "__main__":
--- a/packages/measure/plantainshed_measure/bench_parts.py
+++ b/packages/measure/plantainshed_measure/bench_parts.py
@@ -23,7 +23,7 @@
 from plantainshed_standins.platform_server import PlatformServer
 
 LOOPBACK = "127.0.0.1"
-ANSWER = b"x" * 512
+RESPONSE_BODY = b"x" * 512
 RATE = 1_000_000.0
 
 
@@ -36,7 +36,7 @@
     """Serve a target that answers at once."""
 
     async def handle(exchange):
-        await exchange.reply(200, [], ANSWER)
+        await exchange.reply(200, [], RESPONSE_BODY)
 
     listeners, address = await _open_listeners()
     task_status.started(address)
@@ -50,10 +50,10 @@
         caller = h11.Connection(h11.SERVER)
         upstream = await ClientConnection.open(target, 2)
         while True:
-            request = await _next(caller, stream)
+            request = await _next_event(caller, stream)
             if not isinstance(request, h11.Request):
                 return
-            while not isinstance(await _next(caller, stream), h11.EndOfMessage):
+            while not isinstance(await _next_event(caller, stream), h11.EndOfMessage):
                 pass
             await upstream.send_head(
                 request.method.decode(), request.target.decode(), request.headers
@@ -73,7 +73,7 @@
     await trio.serve_listeners(relay, listeners)
 
 
-async def _next(connection: h11.Connection, stream):
+async def _next_event(connection: h11.Connection, stream):
     while True:
         event = connection.next_event()
         if event is not h11.NEED_DATA:
--- a/packages/measure/plantainshed_measure/faults.py
+++ b/packages/measure/plantainshed_measure/faults.py
@@ -15,7 +15,7 @@
 from .tally import Tally
 
 POLL_S = 0.01
-WATCH_S = 10.0
+DRAIN_WATCH_S = 10.0
 EVENT_TIMEOUT_S = 20.0
 
 
@@ -46,7 +46,7 @@
     for vm in sorted(rig.domain_of):
         await rig.replace_vm(vm, gap_s)
         await trio.sleep(gap_s)
-    tally.events["replaced_s"] = round(trio.current_time() - began_at, 1)
+    tally.durations["replaced_s"] = round(trio.current_time() - began_at, 1)
 
 
 async def isolate(rig: Rig, tally: Tally, failure_domain: str, seconds: float):
@@ -82,7 +82,7 @@
     with trio.move_on_after(EVENT_TIMEOUT_S):
         while any(vm.node.version < version for vm in rig.vms.values()):
             await trio.sleep(POLL_S)
-    tally.events["config_in_force_s"] = round(trio.current_time() - accepted_at, 3)
+    tally.durations["config_in_force_s"] = round(trio.current_time() - accepted_at, 3)
 
 
 async def withdraw_key(rig: Rig, tally: Tally, workspace: str, at_vm: str):
@@ -90,15 +90,15 @@
     key_id = rig.keys[workspace].entry.key_id
     withdrawn_at = trio.current_time()
     rig.vms[at_vm].node.withdraw_key(key_id)
-    tally.events["key_withdrawn_s"] = EVENT_TIMEOUT_S
+    tally.durations["key_withdrawn_s"] = EVENT_TIMEOUT_S
     with trio.move_on_after(EVENT_TIMEOUT_S):
-        while not all(_knows(vm, key_id) for vm in rig.vms.values()):
+        while not all(_knows_withdrawal(vm, key_id) for vm in rig.vms.values()):
             await trio.sleep(POLL_S)
         seconds = round(trio.current_time() - withdrawn_at, 3)
-        tally.events["key_withdrawn_s"] = seconds
+        tally.durations["key_withdrawn_s"] = seconds
 
 
-def _knows(vm, key_id: str) -> bool:
+def _knows_withdrawal(vm, key_id: str) -> bool:
     return vm.node.rumors.knows(KEY_WITHDRAWN_TOPIC, key_id)
 
 
@@ -108,10 +108,10 @@
         lambda document: commands.start_drain(document, DrainKind.TARGET, target)
     )
     ordered_at = trio.current_time()
-    await trio.sleep(WATCH_S)
+    await trio.sleep(DRAIN_WATCH_S)
     started = [at for at, _ in rig.targets[target].started]
     last = max(started, default=ordered_at)
-    tally.events["drain_s"] = round(max(0.0, last - ordered_at), 3)
+    tally.durations["drain_s"] = round(max(0.0, last - ordered_at), 3)
 
 
 async def start_shift(rig: Rig, tally: Tally, **fields):
--- a/packages/measure/plantainshed_measure/make_traces.py
+++ b/packages/measure/plantainshed_measure/make_traces.py
@@ -11,12 +11,12 @@
 from plantainshed_model.codec import from_text
 from plantainshed_model.document import Document
 
-from .trace import SLICE_S, Arrivals, Happening, Trace, write_trace
+from .trace import SLICE_S, Arrivals, Trace, TraceEvent, write_trace
 
 SEED = 20261203
 LOAD_SHARE = 0.55
-TIMES_ITS_RATE = 5.0
-ALWAYS = {
+OVERLOAD_FACTOR = 5.0
+COMMON_LIMITS = {
     "overshoot": 0,
     "cut": 0,
     "doubled": 0,
@@ -26,7 +26,7 @@
 }
 
 
-class Mix:
+class TrafficMix:
     """Where a deployment's requests come from, and how many.
 
     Parameters
@@ -49,9 +49,9 @@
         main = chooser.randrange(len(self.homes))
         return [12.0 if i == main else 1.0 for i in range(len(self.homes))]
 
-    def load(self, length_s: float, factors=None, start_s: float = 0.0):
+    def draw_arrivals(self, length_s: float, factors=None, start_s: float = 0.0):
         """Return arrivals over a time; ``factors`` scales some workspaces."""
-        happenings = []
+        events = []
         for step in range(int(length_s / SLICE_S)):
             counts: dict[tuple[str, str, str], int] = {}
             for workspace, rate in self.rates.items():
@@ -62,8 +62,8 @@
             requests = [Arrivals(*key, count) for key, count in sorted(counts.items())]
             if requests:
                 t = round(start_s + step * SLICE_S, 2)
-                happenings.append(Happening(t, requests))
-        return happenings
+                events.append(TraceEvent(t, requests))
+        return events
 
     def _pool(self) -> str:
         return self.random.choices(self.pools, [6.0, 2.0, 1.0])[0]
@@ -81,11 +81,11 @@
     return count
 
 
-def _fault(t: float, fault: str, **arguments) -> Happening:
-    return Happening(t, [], fault, arguments)
+def _fault(t: float, fault: str, **arguments) -> TraceEvent:
+    return TraceEvent(t, [], fault, arguments)
 
 
-def traces_of(mix: Mix) -> list[Trace]:
+def build_traces(mix: TrafficMix) -> list[Trace]:
     """Return the traces of one deployment."""
     document = mix.document
     regions = [region.name for region in document.regions]
@@ -95,10 +95,10 @@
     pool = mix.pools[0]
     slow = [t.name for t in document.targets if t.pool == pool][:: 2 * len(mix.homes)]
 
-    def trace(name, length_s, happenings, **limits):
+    def trace(name, length_s, events, **limits):
         full_name = f"{mix.deployment}-{name}"
         return Trace(
-            full_name, mix.deployment, length_s, happenings, {**ALWAYS, **limits}
+            full_name, mix.deployment, length_s, events, {**COMMON_LIMITS, **limits}
         )
 
     shift = {
@@ -112,7 +112,7 @@
         trace(
             "five-times",
             30.0,
-            mix.load(30.0, {small: TIMES_ITS_RATE / LOAD_SHARE})
+            mix.draw_arrivals(30.0, {small: OVERLOAD_FACTOR / LOAD_SHARE})
             + [_fault(5.0, "change_config", workspace=large, rate=rate + 1)],
             wrongful_share=0.01,
             config_in_force_s=8.0,
@@ -121,14 +121,14 @@
         trace(
             "rolling-replacement",
             70.0,
-            mix.load(70.0) + [_fault(2.0, "replace_all", gap_s=0.5)],
+            mix.draw_arrivals(70.0) + [_fault(2.0, "replace_all", gap_s=0.5)],
             wrongful_share=0.01,
         ),
         trace(
             "shift-rising",
             50.0,
-            mix.load(20.0)
-            + mix.load(30.0, dict.fromkeys(mix.rates, 1.5), start_s=20.0)
+            mix.draw_arrivals(20.0)
+            + mix.draw_arrivals(30.0, dict.fromkeys(mix.rates, 1.5), start_s=20.0)
             + [
                 _fault(5.0, "start_shift", **shift),
                 _fault(30.0, "set_shift", name="move", state="stopped"),
@@ -141,18 +141,18 @@
         trace(
             "region-lost",
             40.0,
-            mix.load(40.0) + [_fault(8.0, "lose_region", region=regions[2])],
+            mix.draw_arrivals(40.0) + [_fault(8.0, "lose_region", region=regions[2])],
         ),
         trace(
             "domain-cut-off",
             50.0,
-            mix.load(50.0)
+            mix.draw_arrivals(50.0)
             + [_fault(8.0, "isolate", failure_domain=mix.homes[2], seconds=25.0)],
         ),
         trace(
             "slow-targets",
             30.0,
-            mix.load(30.0)
+            mix.draw_arrivals(30.0)
             + [
                 _fault(5.0, "slow_target", target=name, times=6.0, seconds=20.0)
                 for name in slow
@@ -162,7 +162,7 @@
         trace(
             "store-down",
             45.0,
-            mix.load(45.0)
+            mix.draw_arrivals(45.0)
             + [
                 _fault(4.0, "store_down", seconds=20.0),
                 _fault(10.0, "withdraw_key", workspace=small, at_vm=first_vm),
@@ -182,7 +182,7 @@
     root = Path(sys.argv[1]) if len(sys.argv) > 1 else Path()
     for deployment in ("cerimonia", "maracas-bay"):
         text = (root / "examples" / deployment / "document.json").read_text()
-        for trace in traces_of(Mix(deployment, from_text(text))):
+        for trace in build_traces(TrafficMix(deployment, from_text(text))):
             write_trace(root / "traces" / f"{trace.name}.jsonl", trace)
 
 
--- a/packages/measure/plantainshed_measure/memory.py
+++ b/packages/measure/plantainshed_measure/memory.py
@@ -15,7 +15,7 @@
 from plantainshed_coordination.digests import content_digest
 from plantainshed_coordination.versioned import Revision
 
-STATUS = Path("/proc/self/status")
+STATUS_FILE = Path("/proc/self/status")
 
 
 def write_segments(folder: Path, segments: dict[str, bytes]):
@@ -35,10 +35,10 @@
 
 def resident_mb() -> float:
     """Return this process's resident memory now, in megabytes."""
-    for line in STATUS.read_text().splitlines():
+    for line in STATUS_FILE.read_text().splitlines():
         if line.startswith("VmRSS:"):
             return round(int(line.split()[1]) / 1024, 1)
-    raise OSError(f"{STATUS} has no VmRSS")
+    raise OSError(f"{STATUS_FILE} has no VmRSS")
 
 
 def main():
--- a/packages/measure/plantainshed_measure/replay.py
+++ b/packages/measure/plantainshed_measure/replay.py
@@ -16,57 +16,59 @@
 from .faults import FAULTS
 from .policies import Policy
 from .rig import Rig
-from .tally import Tally, excess_of_cap
-from .trace import SLICE_S, Happening, Trace
+from .tally import Tally, excess_over_cap
+from .trace import SLICE_S, Trace, TraceEvent
 
 SETTLE_S = 12.0
-END_S = 6.0
+FINAL_WAIT_S = 6.0
 SAMPLE_S = 0.1
-VMS_A_DOMAIN = 1
+VMS_PER_DOMAIN = 1
 
 
-def replay(trace: Trace, examples: Path, policy: Policy, vms_a_domain=VMS_A_DOMAIN):
+def replay(trace: Trace, examples: Path, policy: Policy, vms_per_domain=VMS_PER_DOMAIN):
     """Replay a trace and return its figures by name."""
     document = from_text((examples / trace.deployment / "document.json").read_text())
-    return run_deterministically(_replay, trace, document, policy, vms_a_domain)
+    return run_deterministically(_replay, trace, document, policy, vms_per_domain)
 
 
-async def _replay(trace: Trace, document: Document, policy: Policy, vms_a_domain: int):
+async def _replay(
+    trace: Trace, document: Document, policy: Policy, vms_per_domain: int
+):
     vms = [
         (f"{domain.name}-{number}", domain.name)
         for domain in document.failure_domains
-        for number in range(1, vms_a_domain + 1)
+        for number in range(1, vms_per_domain + 1)
     ]
     rig = Rig(document, vms, policy)
     tally = Tally(rig.document)
-    _watch_admissions(rig, tally)
+    _record_admissions(rig, tally)
     callers = Callers(rig, tally)
     async with rig.running():
         await trio.sleep(SETTLE_S)
-        before = _control_counts(rig)
+        before = _count_control_traffic(rig)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(_sample_headroom, rig, tally, trace.length_s)
-            await _play(trace, rig, tally, callers, nursery)
-        after = _control_counts(rig)
-        await trio.sleep(END_S)
+            await _play_events(trace, rig, tally, callers, nursery)
+        after = _count_control_traffic(rig)
+        await trio.sleep(FINAL_WAIT_S)
         return _figures(trace, policy, rig, tally, before, after)
 
 
-async def _play(trace: Trace, rig: Rig, tally: Tally, callers: Callers, nursery):
+async def _play_events(trace: Trace, rig: Rig, tally: Tally, callers: Callers, nursery):
     began_at = trio.current_time()
-    for item in trace.happenings:
+    for item in trace.events:
         await trio.sleep_until(began_at + item.t)
         if item.fault:
-            nursery.start_soon(_cause, item, rig, tally)
+            nursery.start_soon(_inject_fault, item, rig, tally)
         else:
             nursery.start_soon(_send_slice, item, callers, nursery)
 
 
-async def _cause(item: Happening, rig: Rig, tally: Tally):
+async def _inject_fault(item: TraceEvent, rig: Rig, tally: Tally):
     await FAULTS[item.fault](rig, tally, **item.arguments)
 
 
-async def _send_slice(item: Happening, callers: Callers, nursery):
+async def _send_slice(item: TraceEvent, callers: Callers, nursery):
     """Send the requests of one slice, each at its own time."""
     chooser = random.Random(item.t)
     began_at = trio.current_time()
@@ -82,22 +84,22 @@
         )
 
 
-def _watch_admissions(rig: Rig, tally: Tally):
+def _record_admissions(rig: Rig, tally: Tally):
     """Have every node's admissions counted against one single bucket."""
     start_vm = rig.start_vm
 
-    def start_watched(vm: str):
+    def start_recorded_vm(vm: str):
         start_vm(vm)
         admission = rig.vms[vm].node.admission
         spend_rate = admission.spend_rate
 
         async def spend(workspace):
             await spend_rate(workspace)
-            tally.note_admission(workspace.name)
+            tally.record_admission(workspace.name)
 
         admission.spend_rate = spend
 
-    rig.start_vm = start_watched
+    rig.start_vm = start_recorded_vm
 
 
 async def _sample_headroom(rig: Rig, tally: Tally, length_s: float):
@@ -118,7 +120,7 @@
                     tally.headroom_min = min(tally.headroom_min, headroom)
 
 
-def _control_counts(rig: Rig) -> tuple[float, int, int, int]:
+def _count_control_traffic(rig: Rig) -> tuple[float, int, int, int]:
     sent = sum(t.sent_bytes + t.received_bytes for t in rig.all_transports)
     messages = sum(t.sent_messages for t in rig.all_transports)
     return trio.current_time(), sent, messages, rig.platform.calls.total()
@@ -132,7 +134,7 @@
     answered = sum(counted.answered for counted in tally.workspaces.values())
     entitled = sum(counted.entitled for counted in tally.workspaces.values())
     worst, worst_share = tally.worst_workspace()
-    wrongful = tally.wrongful()
+    wrongful = tally.count_wrongful_refusals()
     seconds, sent, messages, calls = (b - a for a, b in zip(before, after, strict=True))
     vms = len(rig.domain_of)
     return {
@@ -150,14 +152,14 @@
         "p50_ms": tally.percentile_ms(50),
         "p99_ms": tally.percentile_ms(99),
         "headroom_min": round(tally.headroom_min, 3),
-        "drain_s": tally.events["drain_s"],
+        "drain_s": tally.durations["drain_s"],
         "cut": tally.cut,
         "doubled": sum(1 for name in runs if "~" in name and runs[name] > 1),
         "lost": tally.lost,
         "false_not_run": _false_not_run(tally, runs),
         "shift_cap_excess": _shift_cap_excess(rig),
-        "config_in_force_s": tally.events["config_in_force_s"],
-        "key_withdrawn_s": tally.events["key_withdrawn_s"],
+        "config_in_force_s": tally.durations["config_in_force_s"],
+        "key_withdrawn_s": tally.durations["key_withdrawn_s"],
         "control_bytes_s": round(sent / seconds / vms),
         "control_messages_s": round(messages / seconds / vms, 1),
         "store_calls_s": round(calls / seconds / vms, 2),
@@ -205,7 +207,7 @@
             if _is_moved(rig, shift, target, call)
         ]
         burst = max(1.0, shift.cap * SHIFT_BURST_S)
-        excess = max(excess, excess_of_cap(moved, shift.cap, burst))
+        excess = max(excess, excess_over_cap(moved, shift.cap, burst))
     return excess
 
 
--- a/packages/measure/plantainshed_measure/rig.py
+++ b/packages/measure/plantainshed_measure/rig.py
@@ -29,13 +29,13 @@
 from .policies import Policy
 
 STORE_DELAY_S = 0.004
-CUT_NOTICED_S = 1.0
+CUT_POLL_S = 1.0
 CLOSE_POLL_S = 0.01
-REGION_DELAY_S = 0.012
-DOMAIN_DELAY_S = 0.001
+CROSS_REGION_DELAY_S = 0.012
+CROSS_DOMAIN_DELAY_S = 0.001
 LEAVE_TIMEOUT_S = 60.0
-QUIET = logging.getLogger("plantainshed.rig")
-QUIET.setLevel(logging.CRITICAL)
+RIG_LOGGER = logging.getLogger("plantainshed.rig")
+RIG_LOGGER.setLevel(logging.CRITICAL)
 
 
 class VmPlatform:
@@ -60,14 +60,14 @@
     async def _watch(self, arguments):
         """Wait for a change; a cut breaks the wait as it breaks a connection."""
         async with open_plain_nursery() as nursery:
-            nursery.start_soon(self._break_when_cut)
+            nursery.start_soon(self._raise_when_cut)
             stored = await self.rig.platform.wait_for_change(*arguments)
             nursery.cancel_scope.cancel()
         return stored
 
-    async def _break_when_cut(self):
+    async def _raise_when_cut(self):
         while not self.rig.is_cut_from_platform(self.failure_domain):
-            await trio.sleep(CUT_NOTICED_S)
+            await trio.sleep(CUT_POLL_S)
         raise PlatformUnavailable(f"{self.failure_domain} is cut off")
 
 
@@ -78,12 +78,12 @@
         self.node = node
         self.scope = scope
         self.is_accepting = True
-        self.requests: set[trio.CancelScope] = set()
+        self.request_scopes: set[trio.CancelScope] = set()
 
     async def close(self):
         """Accept nothing more, and wait for the exchanges under way."""
         self.is_accepting = False
-        while self.requests:
+        while self.request_scopes:
             await trio.sleep(CLOSE_POLL_S)
 
 
@@ -101,7 +101,7 @@
     """
 
     def __init__(self, document: Document, vms, policy: Policy, seed: int = 1):
-        self.keys = _draw_keys(document, seed)
+        self.keys = _generate_keys(document, seed)
         entries = tuple(key.entry for key in self.keys.values())
         self.document = evolve(document, keys=entries)
         self.region = {d.name: d.region for d in document.failure_domains}
@@ -159,7 +159,7 @@
             VmPlatform(self, failure_domain),
             transport,
             transport,
-            logging.LoggerAdapter(QUIET, {}),
+            logging.LoggerAdapter(RIG_LOGGER, {}),
         )
         node = Node(
             context,
@@ -181,7 +181,7 @@
     def kill_vm(self, vm: str):
         """End a VM without notice."""
         running = self.vms.pop(vm)
-        for scope in [running.scope, *running.requests]:
+        for scope in [running.scope, *running.request_scopes]:
             scope.cancel()
         self.network.transports.pop(vm, None)
 
@@ -209,11 +209,11 @@
         if running is None or not running.is_accepting:
             return False
         with trio.CancelScope() as scope:
-            running.requests.add(scope)
+            running.request_scopes.add(scope)
             try:
                 await running.node.serving.serve(exchange)
             finally:
-                running.requests.discard(scope)
+                running.request_scopes.discard(scope)
         return not scope.cancelled_caught
 
     # The document.
@@ -249,8 +249,10 @@
     def delay_between(self, domain_a: str, domain_b: str) -> float:
         """Return the one-way delay between two failure domains, in seconds."""
         if self.region[domain_a] != self.region[domain_b]:
-            return REGION_DELAY_S
-        return DOMAIN_DELAY_S if domain_a != domain_b else DOMAIN_DELAY_S / 4
+            return CROSS_REGION_DELAY_S
+        return (
+            CROSS_DOMAIN_DELAY_S if domain_a != domain_b else CROSS_DOMAIN_DELAY_S / 4
+        )
 
     def _is_cut(self, sender: str, receiver: str) -> bool:
         return self.is_cut(self.domain_of[sender], self.domain_of[receiver])
@@ -280,13 +282,13 @@
 
     def _probe_from(self, failure_domain: str):
         async def probe(state):
-            await trio.sleep(DOMAIN_DELAY_S)
+            await trio.sleep(CROSS_DOMAIN_DELAY_S)
             return self.targets[state.target.name].probe()
 
         return probe
 
 
-def _draw_keys(document: Document, seed: int) -> dict[str, IssuedKey]:
+def _generate_keys(document: Document, seed: int) -> dict[str, IssuedKey]:
     """Return a key for each workspace, the same ones for the same seed.
 
     The ids of keys decide into how many segments the document is cut, hence how
--- a/packages/measure/plantainshed_measure/slopes.py
+++ b/packages/measure/plantainshed_measure/slopes.py
@@ -33,7 +33,7 @@
 from .bench import large_document
 
 REPEATS = 3
-BEATS = 20
+HEARTBEATS = 20
 
 
 @frozen
@@ -70,7 +70,7 @@
         )
         return max(distances) / max(max(self.values), 1e-12)
 
-    def at(self, size: int) -> float:
+    def predict(self, size: int) -> float:
         """Return the value that the line gives for a size."""
         slope, intercept = self.fit
         return slope * size + intercept
@@ -79,20 +79,37 @@
 def all_slopes() -> list[Slope]:
     """Measure every slope."""
     return [
-        _memory("client blocks, packed", "block", (70_000, 140_000, 210_000), _blocks),
-        _memory("member records", "peer", (100, 300, 900), _members),
-        _memory("rate parts", "workspace", (500, 1000, 2000), _rate_parts),
-        _memory("targets with slots", "target", (500, 1000, 2000), _targets),
-        _time(
-            "change applied, blocks unchanged", "workspace", (500, 1000, 2000), _apply
+        _measure_memory(
+            "client blocks, packed", "block", (70_000, 140_000, 210_000), _make_blocks
+        ),
+        _measure_memory("member records", "peer", (100, 300, 900), _make_members),
+        _measure_memory("rate parts", "workspace", (500, 1000, 2000), _make_rate_parts),
+        _measure_memory(
+            "targets with slots", "target", (500, 1000, 2000), _make_targets
+        ),
+        _measure_time(
+            "change applied, blocks unchanged",
+            "workspace",
+            (500, 1000, 2000),
+            _prepare_apply,
+        ),
+        _measure_time(
+            "blocks rebuilt", "block", (20_000, 40_000, 80_000), _prepare_rebuild
+        ),
+        _measure_time(
+            "heartbeat made and read",
+            "domain peer",
+            (8, 17, 34),
+            _prepare_heartbeat,
+            HEARTBEATS,
+        ),
+        _measure_time(
+            "rebalance division", "holder", (100, 300, 900), _prepare_division
         ),
-        _time("blocks rebuilt", "block", (20_000, 40_000, 80_000), _rebuild),
-        _time("heartbeat made and read", "domain peer", (8, 17, 34), _heartbeat, BEATS),
-        _time("rebalance division", "holder", (100, 300, 900), _division),
     ]
 
 
-def _memory(what, per, sizes, make: Callable[[int], object]) -> Slope:
+def _measure_memory(what, per, sizes, make: Callable[[int], object]) -> Slope:
     """Measure the bytes that something keeps, by what its making allocates."""
     values = []
     for size in sizes:
@@ -106,7 +123,7 @@
     return Slope(what, "bytes", per, tuple(sizes), tuple(values))
 
 
-def _time(
+def _measure_time(
     what, per, sizes, prepare: Callable[[int], Callable[[], object]], times: int = 1
 ) -> Slope:
     """Measure the processor time of something; the fastest of a few counts.
@@ -116,11 +133,11 @@
     values = []
     for size in sizes:
         run = prepare(size)
-        values.append(min(_seconds(run) for _ in range(REPEATS)) * 1e6 / times)
+        values.append(min(_measure_seconds(run) for _ in range(REPEATS)) * 1e6 / times)
     return Slope(what, "us", per, tuple(sizes), tuple(values))
 
 
-def _seconds(run) -> float:
+def _measure_seconds(run) -> float:
     times = 0
     began = time.process_time()
     while time.process_time() - began < 0.05:
@@ -129,7 +146,7 @@
     return (time.process_time() - began) / times
 
 
-def _blocks(count: int):
+def _make_blocks(count: int):
     return BlockTable(iter(large_document(count).blocks))
 
 
@@ -149,29 +166,29 @@
     )
 
 
-def _members(count: int):
+def _make_members(count: int):
     table = MemberTable()
     for number in range(count):
         table.merge(_record(number), 0.0)
     return table
 
 
-def _in_trio(function):
+def _run_in_trio(function):
     async def body():
         return function()
 
     return trio.run(body)
 
 
-def _rate_parts(count: int):
+def _make_rate_parts(count: int):
     specs = [
         BudgetSpec(f"workspace/w{n}", BudgetKind.RATE, rate=10.0, burst=5.0)
         for n in range(count)
     ]
-    return _in_trio(lambda: {spec.name: RatePart(spec) for spec in specs})
+    return _run_in_trio(lambda: {spec.name: RatePart(spec) for spec in specs})
 
 
-def _targets(count: int):
+def _make_targets(count: int):
     pool = Pool("p", "/p", 9, 400)
 
     def make():
@@ -182,10 +199,10 @@
             states[target.name] = TargetState(target, pool, CountPart(spec))
         return states
 
-    return _in_trio(make)
+    return _run_in_trio(make)
 
 
-def _apply(count: int):
+def _prepare_apply(count: int):
     from plantainshed_model.document import Document, Workspace
 
     document = Document(
@@ -196,14 +213,14 @@
     return lambda: put_in_force(revision, segments, nothing_in_force())
 
 
-def _rebuild(count: int):
+def _prepare_rebuild(count: int):
     blocks = large_document(count).blocks
     return lambda: BlockTable(iter(blocks))
 
 
 def message_bytes(peers: int) -> dict[str, int]:
     """Return the sizes of a heartbeat and a full summary in a domain."""
-    membership = _in_trio(lambda: _membership_with(peers))
+    membership = _run_in_trio(lambda: _membership_with(peers))
 
     def measure():
         summary = membership.summaries._summary_of("d00", full=True)
@@ -213,7 +230,7 @@
             "summary": Envelope(vm="d00-0", summary=summary).ByteSize(),
         }
 
-    return _in_trio(measure)
+    return _run_in_trio(measure)
 
 
 def _membership_with(peers: int) -> Membership:
@@ -229,12 +246,12 @@
     return membership
 
 
-def _heartbeat(peers: int):
-    membership = _in_trio(lambda: _membership_with(peers))
+def _prepare_heartbeat(peers: int):
+    membership = _run_in_trio(lambda: _membership_with(peers))
 
     def run():
         async def body():
-            for _ in range(BEATS):
+            for _ in range(HEARTBEATS):
                 envelope = Envelope(vm="d00-0", heartbeat=membership._heartbeat())
                 received = Envelope()
                 received.ParseFromString(envelope.SerializeToString())
@@ -245,6 +262,6 @@
     return run
 
 
-def _division(holders: int):
+def _prepare_division(holders: int):
     wanted = {f"vm-{n}~1": float(n % 7) for n in range(holders)}
     return lambda: divide(1_000_000, wanted)
--- a/packages/measure/plantainshed_measure/tally.py
+++ b/packages/measure/plantainshed_measure/tally.py
@@ -40,7 +40,7 @@
         self.level -= 1
         self.deepest = max(self.deepest, -self.level)
 
-    def offer(self, now: float) -> bool:
+    def try_take(self, now: float) -> bool:
         """Admit if there is a token."""
         self._refill(now)
         if self.level < 1:
@@ -66,8 +66,8 @@
 
     def __init__(self, document: Document):
         self.workspaces: dict[str, WorkspaceTally] = defaultdict(WorkspaceTally)
-        self.arrivals = {w.name: _bucket(w) for w in document.workspaces}
-        self.admissions = {w.name: _bucket(w) for w in document.workspaces}
+        self.arrivals = {w.name: _make_bucket(w) for w in document.workspaces}
+        self.admissions = {w.name: _make_bucket(w) for w in document.workspaces}
         self.shift_buckets: dict[str, ReferenceBucket] = {}
         self.latencies: list[float] = []
         self.lost = 0
@@ -76,28 +76,28 @@
         self.false_not_run = 0
         self.not_run: list[str] = []
         self.headroom_min = 1.0
-        self.events: dict[str, float | None] = defaultdict(lambda: None)
+        self.durations: dict[str, float | None] = defaultdict(lambda: None)
 
-    def note_arrival(self, workspace: str):
+    def record_arrival(self, workspace: str):
         """Count a request that comes to the fleet for the first time."""
         counted = self.workspaces[workspace]
         counted.arrived += 1
-        counted.entitled += self.arrivals[workspace].offer(trio.current_time())
+        counted.entitled += self.arrivals[workspace].try_take(trio.current_time())
 
-    def note_admission(self, workspace: str):
+    def record_admission(self, workspace: str):
         """Count a request that was let through its workspace's rate."""
         self.admissions[workspace].spend(trio.current_time())
 
-    def note_answer(self, workspace: str, seconds: float):
+    def record_answer(self, workspace: str, seconds: float):
         """Count an answered request."""
         self.workspaces[workspace].answered += 1
         self.latencies.append(seconds)
 
-    def note_refusal(self, workspace: str, reason: str):
+    def record_refusal(self, workspace: str, reason: str):
         """Count a request whose last word was a refusal."""
         self.workspaces[workspace].refused[reason] += 1
 
-    def wrongful(self) -> int:
+    def count_wrongful_refusals(self) -> int:
         """Return refusals beyond those that one single bucket would make."""
         total = 0
         for name, counted in self.workspaces.items():
@@ -125,7 +125,7 @@
     def overshoot(self) -> float:
         """Return the most that any workspace got beyond its rate and burst."""
         deepest = max(bucket.deepest for bucket in self.admissions.values())
-        return round(max(0.0, deepest - ROUNDING), 3)
+        return round(max(0.0, deepest - ROUNDING_TOLERANCE), 3)
 
     def percentile_ms(self, percent: int) -> float | None:
         """Return a percentile of the latencies in milliseconds."""
@@ -135,16 +135,16 @@
         return round(cuts[percent - 1] * 1000, 1)
 
 
-ROUNDING = 1e-6
+ROUNDING_TOLERANCE = 1e-6
 
 
-def _bucket(workspace) -> ReferenceBucket:
+def _make_bucket(workspace) -> ReferenceBucket:
     return ReferenceBucket(workspace.rate, workspace.burst)
 
 
-def excess_of_cap(times: list[float], cap: float, burst: float) -> float:
+def excess_over_cap(times: list[float], cap: float, burst: float) -> float:
     """Return by how many requests a stream went beyond a cap."""
     bucket = ReferenceBucket(cap, burst)
     for at in sorted(times):
         bucket.spend(at)
-    return round(max(0.0, bucket.deepest - ROUNDING), 2) if times else 0.0
+    return round(max(0.0, bucket.deepest - ROUNDING_TOLERANCE), 2) if times else 0.0
--- a/packages/measure/plantainshed_measure/trace.py
+++ b/packages/measure/plantainshed_measure/trace.py
@@ -29,7 +29,7 @@
 
 
 @frozen
-class Happening:
+class TraceEvent:
     """One line of a trace.
 
     Parameters
@@ -55,7 +55,7 @@
     ----------
     name, deployment : str
     length_s : float
-    happenings : list of Happening
+    events : list of TraceEvent
     limits : dict of str to float
         The largest value that each figure may have.
     """
@@ -63,31 +63,31 @@
     name: str
     deployment: str
     length_s: float
-    happenings: list[Happening]
+    events: list[TraceEvent]
     limits: dict[str, float]
 
 
 def read_trace(path: Path) -> Trace:
     """Read a trace from a file of JSON lines."""
     first, *lines = [json.loads(line) for line in path.read_text().splitlines()]
-    happenings = []
+    events = []
     limits = {}
     for line in lines:
         if "limits" in line:
             limits = line["limits"]
         elif "fault" in line:
             arguments = {k: v for k, v in line.items() if k not in ("t", "fault")}
-            happenings.append(Happening(line["t"], [], line["fault"], arguments))
+            events.append(TraceEvent(line["t"], [], line["fault"], arguments))
         else:
             requests = [Arrivals(*item) for item in line["requests"]]
-            happenings.append(Happening(line["t"], requests))
-    return Trace(path.stem, first["deployment"], first["length_s"], happenings, limits)
+            events.append(TraceEvent(line["t"], requests))
+    return Trace(path.stem, first["deployment"], first["length_s"], events, limits)
 
 
 def write_trace(path: Path, trace: Trace):
     """Write a trace as JSON lines."""
     lines = [{"deployment": trace.deployment, "length_s": trace.length_s}]
-    for item in sorted(trace.happenings, key=lambda item: item.t):
+    for item in sorted(trace.events, key=lambda item: item.t):
         if item.fault:
             lines.append({"t": item.t, "fault": item.fault, **item.arguments})
         else:
--- a/packages/measure/plantainshed_measure/transports.py
+++ b/packages/measure/plantainshed_measure/transports.py
@@ -19,9 +19,9 @@
 async def transport_costs() -> dict[str, float]:
     """Return processor time in microseconds, both ends together, by kind."""
     return {
-        "gRPC call, to and from trio": await _grpc(),
-        "TCP stream, round trip": await _stream(),
-        "UDP datagram, one way, authenticated": await _datagram(),
+        "gRPC call, to and from trio": await _measure_grpc(),
+        "TCP stream, round trip": await _measure_stream(),
+        "UDP datagram, one way, authenticated": await _measure_datagram(),
     }
 
 
@@ -34,12 +34,12 @@
     return round(statistics.median(costs), 1)
 
 
-async def _grpc() -> float:
-    async def refuse(request):
+async def _measure_grpc() -> float:
+    async def reply_empty(request):
         return ControlReply()
 
     client = ControlClient()
-    async with serve_control(LOOPBACK, lambda name: MESSAGE, refuse) as port:
+    async with serve_control(LOOPBACK, lambda name: MESSAGE, reply_empty) as port:
 
         async def calls(times: int):
             for _ in range(times):
@@ -50,7 +50,7 @@
     return cost
 
 
-async def _stream() -> float:
+async def _measure_stream() -> float:
     async def echo(stream):
         while data := await stream.receive_some(65536):
             await stream.send_all(data)
@@ -71,7 +71,7 @@
     return cost
 
 
-async def _datagram() -> float:
+async def _measure_datagram() -> float:
     sender = await DatagramTransport.open(LOOPBACK, b"secret")
     receiver = await DatagramTransport.open(LOOPBACK, b"secret")
 
--- a/tests/measure/test_replay.py
+++ b/tests/measure/test_replay.py
@@ -14,8 +14,8 @@
 from plantainshed_measure.replay import replay
 from plantainshed_measure.trace import (
     Arrivals,
-    Happening,
     Trace,
+    TraceEvent,
     read_trace,
     write_trace,
 )
@@ -44,11 +44,11 @@
     "cerimonia",
     2.0,
     [
-        Happening(0.0, REQUESTS),
-        Happening(0.5, [], "kill_vm", {"vm": "tor-a-1", "restart_after_s": 0.5}),
-        Happening(0.5, REQUESTS),
-        Happening(1.0, [], "change_config", {"workspace": "milano", "rate": 201.0}),
-        Happening(1.0, REQUESTS),
+        TraceEvent(0.0, REQUESTS),
+        TraceEvent(0.5, [], "kill_vm", {"vm": "tor-a-1", "restart_after_s": 0.5}),
+        TraceEvent(0.5, REQUESTS),
+        TraceEvent(1.0, [], "change_config", {"workspace": "milano", "rate": 201.0}),
+        TraceEvent(1.0, REQUESTS),
     ],
     {},
 )
@@ -86,12 +86,12 @@
 
 def _shorter(trace: Trace) -> Trace:
     """Return a trace with its faults in quick succession, and few requests."""
-    happenings = []
-    for item in trace.happenings:
+    events = []
+    for item in trace.events:
         arguments = dict(item.arguments)
         if "seconds" in arguments:
             arguments["seconds"] /= TIMES_SHORTER
-        happenings.append(
+        events.append(
             evolve(
                 item,
                 t=item.t / TIMES_SHORTER,
@@ -100,7 +100,7 @@
             )
         )
     length_s = trace.length_s / TIMES_SHORTER
-    return evolve(trace, length_s=length_s, happenings=happenings, limits={})
+    return evolve(trace, length_s=length_s, events=events, limits={})
 
 
 def _start_measure(root: Path, hash_seed: int) -> subprocess.Popen:
--- a/tests/measure/test_tally.py
+++ b/tests/measure/test_tally.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from plantainshed_measure.tally import ReferenceBucket, excess_of_cap
+from plantainshed_measure.tally import ReferenceBucket, excess_over_cap
 
 
 class TestReferenceBucket(unittest.TestCase):
@@ -16,10 +16,10 @@
 
     def test_refuses_what_a_single_bucket_refuses(self):
         bucket = ReferenceBucket(rate=1.0, burst=2.0)
-        self.assertEqual([bucket.offer(0.0) for _ in range(3)], [True, True, False])
+        self.assertEqual([bucket.try_take(0.0) for _ in range(3)], [True, True, False])
 
 
 class TestExcessOfCap(unittest.TestCase):
     def test_counts_what_is_above(self):
-        self.assertEqual(excess_of_cap([0.0, 0.0, 0.0], cap=1.0, burst=2.0), 1.0)
-        self.assertEqual(excess_of_cap([0.0, 1.0, 2.0], cap=1.0, burst=1.0), 0.0)
+        self.assertEqual(excess_over_cap([0.0, 0.0, 0.0], cap=1.0, burst=2.0), 1.0)
+        self.assertEqual(excess_over_cap([0.0, 1.0, 2.0], cap=1.0, burst=1.0), 0.0)
