--- a/packages/measure/plantainshed_measure/__init__.py
+++ b/packages/measure/plantainshed_measure/__init__.py
@@ -1,5 +1,6 @@
-"""Measurements: replay of traces, benchmarks, and slopes for capacity.
+"""Replay of traces, benchmarks, and measurements for capacity planning.
 
-`trace` is the format, `make_traces` writes the committed ones, `rig` joins
-several nodes in memory, `callers` replays arrivals, `tally` judges.
+`trace` reads and writes trace files, and `make_traces` generates those in ``traces``.
+`rig` runs several nodes in memory, `callers` sends them the requests of a trace, and
+`tally` counts the outcomes.
 """
--- a/packages/measure/plantainshed_measure/__main__.py
+++ b/packages/measure/plantainshed_measure/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m plantainshed_measure``: replay all traces with all policies."""
+"""Replays all traces with all policies: ``python -m plantainshed_measure``."""
 
 import json
 import sys
@@ -38,19 +38,21 @@
 
 
 def measure(only: str = "", policy: str = "", root: str = ".", jobs: int = 6):
-    """Replay the committed traces and print a table and a JSON line for each.
+    """Replay the traces in ``traces``; print a table, and a JSON line per replay.
+
+    Exit with status 1 if the production policy violates a limit of a trace.
 
     Parameters
     ----------
     only : str
-        Part of the names of the traces to replay; all if empty.
+        Replay only traces whose file names contain this text; all if empty.
     policy : str
-        One policy; all if empty.
+        Name of the only policy to replay; all if empty.
     root : str
-        The checkout.
+        Root folder of the repository.
     jobs : int
-        Replays that run at a time. They do not depend on each other, and each
-        runs on a clock of its own that no load on the machine can change.
+        Number of parallel replays. Replays are independent of each other, and
+        each has a simulated clock that the load of the machine does not affect.
     """
     began_at = time.monotonic()
     paths = sorted(p for p in Path(root, "traces").glob("*.jsonl") if only in p.name)
--- a/packages/measure/plantainshed_measure/bench.py
+++ b/packages/measure/plantainshed_measure/bench.py
@@ -1,7 +1,8 @@
-"""Speed, as ratios within one run: ``python -m plantainshed_measure.bench``.
+"""Benchmarks of look-ups, memory and relaying.
 
-Absolute figures depend on the machine; each comparison is therefore made
-against something that runs beside it in the same process and run.
+Run them as ``python -m plantainshed_measure.bench``. Absolute times depend on the
+machine, so the cost of relaying is also compared with a minimal relay that runs in
+the same process.
 """
 
 import json
@@ -33,7 +34,7 @@
 
 
 def large_document(blocks: int = BLOCKS) -> Document:
-    """Return a document of the planned size, with nothing but topology."""
+    """Return a document of the planned size that contains only the topology."""
     domains = tuple(
         FailureDomain(f"d{number:02d}", f"r{number % REGIONS:02d}")
         for number in range(DOMAINS)
@@ -52,10 +53,10 @@
 
 
 class StubDependencies:
-    """Stands in for steering and membership: the decision is what is timed."""
+    """Stub of steering and membership, so that only the look-up decision is timed."""
 
     class Identity:
-        """The VM that is asked."""
+        """Identity of the VM that answers the look-ups."""
 
         vm = "d00-1"
         failure_domain = "d00"
@@ -72,7 +73,7 @@
 
 
 def bench_lookup() -> dict:
-    """Time look-up decisions with all blocks loaded, and the memory they take."""
+    """Measure the rate of look-up decisions with all client blocks loaded."""
     segments = to_segments(large_document())
     in_force = put_in_force(
         Revision(1, "c", "", {n: n for n in segments}, "", "", ""),
@@ -94,16 +95,16 @@
 
 
 def bench_memory() -> dict:
-    """Measure a daemon's memory with all blocks loaded."""
+    """Measure the memory of a daemon with all client blocks loaded."""
     figures = measure_in_new_process(to_segments(large_document()))
     return {"memory_mb": figures["loaded_mb"], "imports_mb": figures["imported_mb"]}
 
 
 async def bench_relay() -> dict:
-    """Time a proxied request against a relay that does nothing else.
+    """Compare the processor time of a request through a daemon and a minimal relay.
 
-    Both run in this process against the same target and caller, in turn; the
-    cost of target and caller, measured without any relay, is taken off both.
+    Both run in turn in this process, with the same target and caller. The cost of the
+    target and the caller is measured without a relay and subtracted from both.
     """
     async with trio.open_nursery() as nursery:
         target = await nursery.start(serve_target)
@@ -139,7 +140,7 @@
 
 
 def main():
-    """Run all benchmarks; exit with 1 when one misses what is wanted."""
+    """Run all benchmarks; exit with status 1 if one misses its limit."""
     figures = {**bench_lookup(), **bench_memory(), **trio.run(bench_relay)}
     passed = {
         "lookups_s": figures["lookups_s"] >= MIN_LOOKUPS_PER_S,
--- a/packages/measure/plantainshed_measure/bench_parts.py
+++ b/packages/measure/plantainshed_measure/bench_parts.py
@@ -1,4 +1,4 @@
-"""What the benchmark of relaying compares: a target, a bare relay, a daemon."""
+"""Servers for the relay benchmark: a target, a minimal relay and an entry daemon."""
 
 import h11
 import trio
@@ -33,7 +33,7 @@
 
 
 async def serve_target(task_status):
-    """Serve a target that answers at once."""
+    """Serve a target that responds immediately."""
 
     async def handle(exchange):
         await exchange.reply(200, [], RESPONSE_BODY)
@@ -44,7 +44,7 @@
 
 
 async def bare_relay(target: str, task_status):
-    """Serve a relay of h11 and trio that does nothing but relay."""
+    """Serve a minimal relay, built from h11 and trio."""
 
     async def relay(stream):
         caller = h11.Connection(h11.SERVER)
@@ -82,7 +82,7 @@
 
 
 async def entry_relay(target: str, task_status):
-    """Run an entry daemon with one target; tell its address and a key."""
+    """Run an entry daemon with one target; report its address and an API key."""
     key = issue_key("w")
     document = Document(
         regions=(Region("r"),),
--- a/packages/measure/plantainshed_measure/callers.py
+++ b/packages/measure/plantainshed_measure/callers.py
@@ -1,4 +1,4 @@
-"""Callers of a replay: they look up, cache, send, and repeat as they safely may."""
+"""Simulated callers that look up VMs, cache the answers, and send requests."""
 
 import random
 
@@ -25,7 +25,7 @@
 
 @frozen
 class CachedAnswer:
-    """A look-up's answer and when it may not be used any more."""
+    """The answer to a look-up and the time when it expires."""
 
     answer: LookupAnswer
     until: float
@@ -33,10 +33,21 @@
 
 @define
 class Callers:
-    """Sends a trace's requests to a rig.
-
-    Callers of one home domain and one client block share a cached look-up, as
-    a town hall's or a dispatcher's program does.
+    """Sends the requests of a trace to a rig.
+
+    Callers from the same client block share a cached look-up for each pool, as the
+    users of one program at a town hall or dispatch centre do.
+
+    Attributes
+    ----------
+    rng : random.Random
+        Chooses client blocks and paths.
+    cache : dict of (str, str) to CachedAnswer
+        Look-ups by client address and pool.
+    request_count : int
+        Numbers the requests.
+    lookup_turn : int
+        Distributes look-ups over the VMs in turn.
     """
 
     rig: Rig
@@ -47,7 +58,7 @@
     lookup_turn: int = 0
 
     async def request(self, workspace: str, pool: str, home: str, path: str = ""):
-        """Have one request answered or refused, and count it."""
+        """Send a request, retry it if that is safe, and count its outcome."""
         began_at = trio.current_time()
         self.tally.record_arrival(workspace)
         client = self._choose_client(home)
@@ -85,7 +96,7 @@
         return vm in self.rig.planned_stops
 
     def _handle_refusal(self, workspace, exchange, operation, attempt) -> bool:
-        """Count a refusal; return whether it was the last word."""
+        """Handle a refusal; return whether it is final, and count it if so."""
         reason = exchange.response.header(b"plantainshed-reason")
         outcome = exchange.response.header(b"plantainshed-outcome")
         if outcome == NOT_RUN and b"operation-id" in dict(exchange.request.headers):
@@ -96,7 +107,7 @@
         return True
 
     async def _serve(self, vm: str, exchange: FakeExchange) -> bool | None:
-        """Return whether an answer came; None when no connection was had."""
+        """Return whether a response arrived, or None if the connection failed."""
         if vm not in self.rig.vms:
             return None
         return await self.rig.serve(vm, exchange) and exchange.response is not None
@@ -108,7 +119,7 @@
         if has_operation:
             headers.append((b"operation-id", operation.encode()))
         method = "POST" if has_operation else "GET"
-        # Each reader asks for a page of its own now and then.
+        # Readers request different pages, so reads are spread over several paths.
         target = path or f"/{pool}/{self.rng.randrange(50)}"
         if has_operation and not path:
             target = f"/{pool}/{self.request_count}"
--- a/packages/measure/plantainshed_measure/capacity.py
+++ b/packages/measure/plantainshed_measure/capacity.py
@@ -1,6 +1,7 @@
-"""``python -m plantainshed_measure.capacity``: rewrites the tables of the page.
+"""Updates the tables of docs/CAPACITY.md with measurements.
 
-Everything between the markers of docs/CAPACITY.md is this program's output.
+Run it as ``python -m plantainshed_measure.capacity``. Its output replaces everything
+between the markers of the page.
 """
 
 import json
@@ -42,7 +43,7 @@
 
 
 def capacity(page: str = str(PAGE)):
-    """Measure slopes, print them, and rewrite the page's tables."""
+    """Measure the slopes and costs, print them, and update the tables of the page."""
     slopes = all_slopes()
     costs = trio.run(transport_costs)
     memory = measure_in_new_process(to_segments(large_document()))
@@ -97,8 +98,8 @@
     heartbeats_us = HEARTBEATS_PER_S * (heartbeat_us + datagram_us)
     sizes = message_bytes(PEERS_PER_DOMAIN)
     summaries_s = DELEGATES_PER_DOMAIN * (DOMAINS - 1) / PEERS_PER_DOMAIN
-    # Both directions; one summary in five is full, the others carry the
-    # sender's record and what is new.
+    # Traffic counts in both directions. One summary in five is full, the others
+    # carry only the sender's record and new information.
     heartbeat_bytes = 2 * HEARTBEATS_PER_S * sizes["heartbeat"]
     summary_bytes = 2 * summaries_s * sizes["summary"] / FULL_SUMMARY_EVERY
     change_us = by_name["change applied, blocks unchanged"].predict(WORKSPACES)
--- a/packages/measure/plantainshed_measure/faults.py
+++ b/packages/measure/plantainshed_measure/faults.py
@@ -1,7 +1,8 @@
-"""What a trace can have happen to a rig, by name.
+"""Faults and operator actions that a trace can apply to a rig.
 
-Each function takes the rig, the tally and the line's arguments. Those that
-measure how long something takes write it to `Tally.events`.
+Traces refer to these functions and their arguments by name. Each function takes the
+rig, the tally and the arguments of the trace line. Functions that measure a duration
+store it in `Tally.durations`.
 """
 
 import trio
@@ -20,7 +21,7 @@
 
 
 async def kill_vm(rig: Rig, tally: Tally, vm: str, restart_after_s: float = 0.0):
-    """Kill a VM, and perhaps start another run of it later."""
+    """Kill a VM; restart it after ``restart_after_s`` seconds unless that is 0."""
     rig.kill_vm(vm)
     if restart_after_s:
         await trio.sleep(restart_after_s)
@@ -28,7 +29,7 @@
 
 
 async def lose_region(rig: Rig, tally: Tally, region: str):
-    """Kill all VMs and targets of a region; the platform notices a bit later."""
+    """Kill all VMs and targets of a region; the platform unlists the VMs later."""
     vms = [vm for vm in rig.vms if rig.region[rig.domain_of[vm]] == region]
     for vm in vms:
         rig.kill_vm(vm)
@@ -41,7 +42,7 @@
 
 
 async def replace_all(rig: Rig, tally: Tally, gap_s: float = 0.5):
-    """Replace every VM as planned, one after another."""
+    """Restart all VMs gracefully, one after another."""
     began_at = trio.current_time()
     for vm in sorted(rig.domain_of):
         await rig.replace_vm(vm, gap_s)
@@ -50,28 +51,28 @@
 
 
 async def isolate(rig: Rig, tally: Tally, failure_domain: str, seconds: float):
-    """Cut a failure domain off from everything for a while."""
+    """Cut a failure domain off from all others and the platform for a while."""
     rig.isolated.add(failure_domain)
     await trio.sleep(seconds)
     rig.isolated.discard(failure_domain)
 
 
 async def store_down(rig: Rig, tally: Tally, seconds: float):
-    """Have the store refuse every call for a while."""
+    """Make all store calls fail for a while."""
     await rig.platform.set_down(True)
     await trio.sleep(seconds)
     await rig.platform.set_down(False)
 
 
 async def store_slow(rig: Rig, tally: Tally, seconds: float, delay_s: float):
-    """Have every call to the store take longer for a while."""
+    """Delay all store calls for a while."""
     rig.platform.faults.delay_s = delay_s
     await trio.sleep(seconds)
     rig.platform.faults.delay_s = 0.0
 
 
 async def change_config(rig: Rig, tally: Tally, workspace: str, rate: float):
-    """Change a workspace's rate, and wait until it is in force everywhere."""
+    """Change the rate of a workspace and measure how long all VMs take to apply it."""
 
     def change(document):
         item = next(w for w in document.workspaces if w.name == workspace)
@@ -86,7 +87,7 @@
 
 
 async def withdraw_key(rig: Rig, tally: Tally, workspace: str, at_vm: str):
-    """Withdraw a workspace's key at one VM; time until no VM takes it."""
+    """Withdraw a workspace's key at one VM and time how long until all VMs know."""
     key_id = rig.keys[workspace].entry.key_id
     withdrawn_at = trio.current_time()
     rig.vms[at_vm].node.withdraw_key(key_id)
@@ -103,7 +104,7 @@
 
 
 async def drain_target(rig: Rig, tally: Tally, target: str):
-    """Drain a target; time until its last new request."""
+    """Drain a target and measure how long it still gets new requests."""
     await rig.edit(
         lambda document: commands.start_drain(document, DrainKind.TARGET, target)
     )
@@ -115,7 +116,7 @@
 
 
 async def start_shift(rig: Rig, tally: Tally, **fields):
-    """Start an operator's shift."""
+    """Start a shift of traffic between regions."""
     await rig.edit(lambda document: commands.put_shift(document, Shift(**fields)))
 
 
@@ -127,7 +128,7 @@
 
 
 async def crash_target(rig: Rig, tally: Tally, target: str, seconds: float):
-    """Have a target die and come back."""
+    """Crash a target and bring it back after a while."""
     rig.targets[target].crash()
     await trio.sleep(seconds)
     rig.targets[target].is_down = False
@@ -136,7 +137,7 @@
 async def slow_target(
     rig: Rig, tally: Tally, target: str, times: float, seconds: float
 ):
-    """Have a target take several times as long for a while."""
+    """Multiply the service time of a target by ``times`` for a while."""
     slowed = rig.targets[target]
     usual_s = slowed.service_time_s
     slowed.service_time_s = usual_s * times
--- a/packages/measure/plantainshed_measure/make_traces.py
+++ b/packages/measure/plantainshed_measure/make_traces.py
@@ -1,7 +1,7 @@
-"""Writes the committed traces, from the brief's sizes and a fixed seed.
+"""Writes the trace files in ``traces`` for the example deployments.
 
-Run as ``python -m plantainshed_measure.make_traces``; the same seed gives the
-same files.
+Run it as ``python -m plantainshed_measure.make_traces``. The load follows the rates
+of the deployments' documents. The seed is fixed, so the files are reproducible.
 """
 
 import random
@@ -27,7 +27,7 @@
 
 
 class TrafficMix:
-    """Where a deployment's requests come from, and how many.
+    """Draws the requests of a deployment: workspaces, pools, origins and counts.
 
     Parameters
     ----------
@@ -44,13 +44,25 @@
         self.homes = [domain.name for domain in document.failure_domains]
 
     def home_weights(self, workspace: str) -> list[float]:
-        """Return how a workspace's callers are spread: most near one place."""
+        """Return the weight of each failure domain as origin of a workspace's requests.
+
+        Most requests come from one domain, which is drawn for each workspace.
+        """
         chooser = random.Random(f"{SEED}/{workspace}")
         main = chooser.randrange(len(self.homes))
         return [12.0 if i == main else 1.0 for i in range(len(self.homes))]
 
     def draw_arrivals(self, length_s: float, factors=None, start_s: float = 0.0):
-        """Return arrivals over a time; ``factors`` scales some workspaces."""
+        """Return the arrivals of ``length_s`` seconds as trace events.
+
+        Parameters
+        ----------
+        length_s : float
+        factors : dict of str to float, optional
+            Multiplies the rates of the given workspaces.
+        start_s : float
+            Time of the first event.
+        """
         events = []
         for step in range(int(length_s / SLICE_S)):
             counts: dict[tuple[str, str, str], int] = {}
@@ -73,7 +85,7 @@
 
 
 def _poisson(chooser: random.Random, mean: float) -> int:
-    """Draw the number of arrivals in one slice."""
+    """Draw a Poisson-distributed number of arrivals."""
     count, passed = 0, chooser.expovariate(1.0)
     while passed < mean:
         count += 1
--- a/packages/measure/plantainshed_measure/memory.py
+++ b/packages/measure/plantainshed_measure/memory.py
@@ -1,8 +1,8 @@
-"""Memory of a daemon with client blocks loaded, in a process of its own.
+"""Measures the memory of a daemon with client blocks loaded, in a new process.
 
-``python -m plantainshed_measure.memory FOLDER`` reads the segments that
-`write_segments` put there, as a daemon that starts would get them from a peer,
-and prints its resident memory in megabytes before and after.
+``python -m plantainshed_measure.memory FOLDER`` loads the document segments that
+`write_segments` wrote to the folder, as a starting daemon loads those of a peer. It
+prints its resident memory in megabytes before and after.
 """
 
 import gc
@@ -19,13 +19,16 @@
 
 
 def write_segments(folder: Path, segments: dict[str, bytes]):
-    """Write segments for a process that measures."""
+    """Write document segments to a folder for the measuring process."""
     for name, text in segments.items():
         (folder / name).write_bytes(text)
 
 
 def measure_in_new_process(segments: dict[str, bytes]) -> dict:
-    """Return ``imported_mb`` and ``loaded_mb`` of a process with the segments."""
+    """Load segments in a new process and return its figures, such as ``loaded_mb``.
+
+    ``imported_mb`` is the memory before loading.
+    """
     with tempfile.TemporaryDirectory() as folder:
         write_segments(Path(folder), segments)
         command = [sys.executable, "-m", "plantainshed_measure.memory", folder]
@@ -34,7 +37,7 @@
 
 
 def resident_mb() -> float:
-    """Return this process's resident memory now, in megabytes."""
+    """Return the current resident memory of this process in megabytes."""
     for line in STATUS_FILE.read_text().splitlines():
         if line.startswith("VmRSS:"):
             return round(int(line.split()[1]) / 1024, 1)
@@ -42,7 +45,7 @@
 
 
 def main():
-    """Load the segments of a folder and print what they take."""
+    """Load the segments of a folder and print the memory used."""
     import plantainshed_entry.daemon  # noqa: F401
     from plantainshed_entry.in_force import nothing_in_force, put_in_force
 
--- a/packages/measure/plantainshed_measure/memory_targets.py
+++ b/packages/measure/plantainshed_measure/memory_targets.py
@@ -1,4 +1,4 @@
-"""Targets in memory: they count what they run, shed, drain and crash."""
+"""Simulated targets that count their requests and can shed load, drain and crash."""
 
 from collections import Counter
 
@@ -15,14 +15,20 @@
 
 @define
 class MemoryTarget:
-    """One back end.
+    """A simulated back end.
 
     Attributes
     ----------
+    reports_healthy_when_down : bool
+        Whether health probes succeed while the target is down.
+    most_running : int
+        Largest number of requests that ran at the same time.
+    shed : int
+        Number of requests refused because all slots were in use.
     runs : collections.Counter
-        How often each request was run, by operation id or request id.
-    started : list of float
-        When each run began.
+        Number of runs of each request, by operation id or request id.
+    started : list of (float, Call)
+        Start time and call of each run.
     """
 
     name: str
@@ -40,7 +46,7 @@
     _crash: trio.Event = field(factory=trio.Event)
 
     async def run(self, call: Call):
-        """Run a request to its end, or raise `AttemptFailed`."""
+        """Run a request to completion or raise `AttemptFailed`."""
         if self.is_down:
             raise AttemptFailed(f"{self.name} is down", Outcome.NOT_RUN)
         if self.running >= self.slots:
@@ -60,16 +66,16 @@
         finally:
             self.running -= 1
         if crash.is_set():
-            raise AttemptFailed(f"{self.name} died", Outcome.UNKNOWN, crashed=True)
+            raise AttemptFailed(f"{self.name} crashed", Outcome.UNKNOWN, crashed=True)
 
     def crash(self):
-        """Die: whatever runs gets no answer."""
+        """Crash: requests in progress get no response."""
         self.is_down = True
         self._crash.set()
         self._crash = trio.Event()
 
     def probe(self) -> ProbeResult:
-        """Return what the health endpoint says."""
+        """Return the result of a health probe."""
         if self.is_down and not self.reports_healthy_when_down:
             return ProbeResult(healthy=False, draining=False, load=0.0)
         return ProbeResult(True, self.is_draining, float(self.running))
--- a/packages/measure/plantainshed_measure/policies.py
+++ b/packages/measure/plantainshed_measure/policies.py
@@ -1,4 +1,4 @@
-"""The chosen policy, and the baselines that it is compared with."""
+"""The production policy and the baselines that replays compare it with."""
 
 import itertools
 
@@ -14,7 +14,9 @@
 
 
 class StaticSplit:
-    """Each VM has an equal share of every rate for good, and lends nothing.
+    """Rate limiter that gives each VM a fixed, equal share of every rate.
+
+    VMs do not lend tokens to each other.
 
     Parameters
     ----------
@@ -30,19 +32,19 @@
             self.parts[spec.name] = part
 
     async def take(self, name: str) -> bool:
-        """Take a token of the own share."""
+        """Take a token from this VM's share; return whether the request may pass."""
         part = self.parts.get(name)
         return part is None or part.try_take()
 
 
 class RoundRobin:
-    """Takes targets in turn, whatever their load."""
+    """Orders targets in rotation, regardless of their load."""
 
     def __init__(self):
         self.turns = itertools.count()
 
     def __call__(self, candidates: list[TargetState]) -> list[TargetState]:
-        """Return the candidates, beginning with the next one."""
+        """Return the candidates, starting at the next position of the rotation."""
         if not candidates:
             return candidates
         turn = next(self.turns) % len(candidates)
@@ -51,13 +53,15 @@
 
 @frozen
 class Policy:
-    """What differs between the runs of a comparison.
+    """The parts of a node that are replaced by a baseline in a replay.
 
     Parameters
     ----------
     name : str
-    static_split, round_robin : bool
-        Which part is replaced by its baseline.
+    static_split : bool
+        Use `StaticSplit` as rate limiter.
+    round_robin : bool
+        Use `RoundRobin` as order of targets.
     """
 
     name: str
@@ -65,11 +69,11 @@
     round_robin: bool = False
 
     def limiter(self, document: Document, vm_count: int):
-        """Return the limiter of one node, None for the chosen one."""
+        """Return the rate limiter of one node, or None for the production one."""
         return StaticSplit(document, vm_count) if self.static_split else None
 
     def order(self):
-        """Return the order of targets, None for the chosen one."""
+        """Return the order of targets, or None for the production one."""
         return RoundRobin() if self.round_robin else None
 
 
--- a/packages/measure/plantainshed_measure/replay.py
+++ b/packages/measure/plantainshed_measure/replay.py
@@ -1,4 +1,4 @@
-"""Replaying a trace on a rig, and the figures that come out."""
+"""Replays a trace on a rig and computes the figures of the replay."""
 
 import random
 from pathlib import Path
@@ -26,7 +26,17 @@
 
 
 def replay(trace: Trace, examples: Path, policy: Policy, vms_per_domain=VMS_PER_DOMAIN):
-    """Replay a trace and return its figures by name."""
+    """Replay a trace in simulated time and return its figures by name.
+
+    Parameters
+    ----------
+    trace : Trace
+    examples : Path
+        Folder with the example deployments and their documents.
+    policy : Policy
+    vms_per_domain : int
+        Number of VMs in each failure domain.
+    """
     document = from_text((examples / trace.deployment / "document.json").read_text())
     return run_deterministically(_replay, trace, document, policy, vms_per_domain)
 
@@ -69,7 +79,10 @@
 
 
 async def _send_slice(item: TraceEvent, callers: Callers, nursery):
-    """Send the requests of one slice, each at its own time."""
+    """Send the requests of one time slice, each at a random time within it.
+
+    The generator is seeded with the event's time, so each replay draws the same.
+    """
     chooser = random.Random(item.t)
     began_at = trio.current_time()
     planned = [
@@ -85,7 +98,7 @@
 
 
 def _record_admissions(rig: Rig, tally: Tally):
-    """Have every node's admissions counted against one single bucket."""
+    """Record the admissions of all nodes, including those that start later."""
     start_vm = rig.start_vm
 
     def start_recorded_vm(vm: str):
@@ -173,10 +186,10 @@
 
 
 def _digest(rig: Rig, tally: Tally) -> str:
-    """Return a digest of all that was counted and stored, nothing rounded.
+    """Return a digest of the unrounded counters and of the stored objects.
 
-    Two replays of a trace went the same way if their digests are equal. Request
-    ids, which are random, are left out.
+    Equal digests show that two replays of a trace took the same course. Request
+    ids are excluded because they are random.
     """
     counted = (
         [(name, asdict(counts)) for name, counts in sorted(tally.workspaces.items())],
@@ -220,7 +233,10 @@
 
 
 def violations(figures: dict, trace: Trace) -> list[str]:
-    """Return the figures that are above what the trace allows."""
+    """Return a message for each figure that violates a limit of the trace.
+
+    A limit is a maximum, except that of ``worst_workspace``, which is a minimum.
+    """
     found = []
     for name, limit in trace.limits.items():
         value = figures[name]
--- a/packages/measure/plantainshed_measure/rig.py
+++ b/packages/measure/plantainshed_measure/rig.py
@@ -1,4 +1,4 @@
-"""Several nodes on a network in memory, with the faults that a trace names."""
+"""Runs several entry nodes on an in-memory network and injects faults into them."""
 
 import contextlib
 import itertools
@@ -39,7 +39,10 @@
 
 
 class VmPlatform:
-    """The platform as one VM reaches it: over the network, or not at all."""
+    """Forwards the platform calls of one VM, with network delay.
+
+    Calls fail while the failure domain of the VM is cut off from the platform.
+    """
 
     def __init__(self, rig: "Rig", failure_domain: str):
         self.rig = rig
@@ -58,7 +61,10 @@
         return call
 
     async def _watch(self, arguments):
-        """Wait for a change; a cut breaks the wait as it breaks a connection."""
+        """Wait for a change to a stored object.
+
+        A cut ends the wait with an error, as it would break a connection.
+        """
         async with open_plain_nursery() as nursery:
             nursery.start_soon(self._raise_when_cut)
             stored = await self.rig.platform.wait_for_change(*arguments)
@@ -72,7 +78,15 @@
 
 
 class RunningVm:
-    """A VM of the rig: its node and what ends it."""
+    """A running VM: its node, and the cancel scopes that stop it.
+
+    Attributes
+    ----------
+    scope : trio.CancelScope
+        Stops the node.
+    request_scopes : set of trio.CancelScope
+        One for each exchange in progress.
+    """
 
     def __init__(self, node: Node, scope: trio.CancelScope):
         self.node = node
@@ -81,23 +95,34 @@
         self.request_scopes: set[trio.CancelScope] = set()
 
     async def close(self):
-        """Accept nothing more, and wait for the exchanges under way."""
+        """Stop accepting exchanges and wait for those in progress."""
         self.is_accepting = False
         while self.request_scopes:
             await trio.sleep(CLOSE_POLL_S)
 
 
 class Rig:
-    """A fleet in memory.
+    """An in-memory fleet of VMs with its targets, network and platform.
 
     Parameters
     ----------
     document : Document
     vms : list of (str, str)
-        VM and failure domain of each.
+        Name and failure domain of each VM.
     policy : Policy
     seed : int
-        Draws the keys and the network's faults.
+        Seed of the generated keys and of the network's random faults.
+
+    Attributes
+    ----------
+    isolated : set of str
+        Failure domains that are cut off from all others and from the platform.
+    cut_from_platform : set of str
+        Failure domains that are cut off from the platform only.
+    planned_stops : set of str
+        VMs that were shut down gracefully.
+    all_transports : list
+        Transports of all runs of all VMs, including those that have ended.
     """
 
     def __init__(self, document: Document, vms, policy: Policy, seed: int = 1):
@@ -134,7 +159,7 @@
 
     @contextlib.asynccontextmanager
     async def running(self):
-        """Run the fleet for the length of a block."""
+        """Run the fleet for the duration of a ``with`` block."""
         async with trio.open_nursery() as nursery:
             self.nursery = nursery
             await self.commit(self.document)
@@ -146,7 +171,7 @@
     # VMs.
 
     def start_vm(self, vm: str):
-        """Start a VM, or a new run of it."""
+        """Start a VM, or restart it with a new incarnation."""
         failure_domain = self.domain_of[vm]
         seeds = tuple(Seed(n, d, n) for n, d in self.domain_of.items())
         settings = Settings(vm, failure_domain, vm, vm, vm, "platform", seeds)
@@ -179,18 +204,18 @@
             await running.node.run()
 
     def kill_vm(self, vm: str):
-        """End a VM without notice."""
+        """Stop a VM abruptly and cancel its exchanges."""
         running = self.vms.pop(vm)
         for scope in [running.scope, *running.request_scopes]:
             scope.cancel()
         self.network.transports.pop(vm, None)
 
     def forget_vm(self, vm: str):
-        """Have the platform drop a VM from its list."""
+        """Remove a VM from the platform's list."""
         self.platform.vms.pop(vm, None)
 
     async def stop_vm(self, vm: str):
-        """Stop a VM as planned."""
+        """Shut a VM down gracefully."""
         running = self.vms[vm]
         self.planned_stops.add(vm)
         await running.node.leave(running.close, LEAVE_TIMEOUT_S)
@@ -198,13 +223,16 @@
         self.forget_vm(vm)
 
     async def replace_vm(self, vm: str, gap_s: float = 0.5):
-        """Stop a VM as planned, and start its successor."""
+        """Shut a VM down gracefully and restart it after ``gap_s`` seconds."""
         await self.stop_vm(vm)
         await trio.sleep(gap_s)
         self.start_vm(vm)
 
     async def serve(self, vm: str, exchange: FakeExchange) -> bool:
-        """Have a VM answer an exchange; False when it is not there, or died."""
+        """Let a VM serve an exchange.
+
+        Return False if the VM does not accept exchanges or is killed meanwhile.
+        """
         running = self.vms.get(vm)
         if running is None or not running.is_accepting:
             return False
@@ -219,7 +247,7 @@
     # The document.
 
     async def commit(self, document: Document, reason: str = "trace") -> int:
-        """Put a document in place; return its version."""
+        """Store a new version of the document and return its number."""
         store = DocumentStore(self.platform)
         root = await store.root()
         change = Change(
@@ -235,7 +263,7 @@
         return revision.version
 
     async def edit(self, change) -> int:
-        """Change the stored document; return its version."""
+        """Apply ``change`` to the stored document and return the new version."""
         store = DocumentStore(self.platform)
         root = await store.root()
         document = from_segments(await store.segments(root.revision))
@@ -258,11 +286,11 @@
         return self.is_cut(self.domain_of[sender], self.domain_of[receiver])
 
     def is_cut(self, domain_a: str, domain_b: str) -> bool:
-        """Tell whether nothing passes between two failure domains."""
+        """Return whether two failure domains cannot reach each other."""
         return domain_a != domain_b and bool({domain_a, domain_b} & self.isolated)
 
     def is_cut_from_platform(self, failure_domain: str) -> bool:
-        """Tell whether a failure domain cannot reach the platform."""
+        """Return whether a failure domain cannot reach the platform."""
         return failure_domain in self.isolated | self.cut_from_platform
 
     def _relay_from(self, failure_domain: str):
@@ -270,7 +298,7 @@
             target = self.targets[state.target.name]
             if self.is_cut(failure_domain, target.failure_domain):
                 await trio.sleep(1.0)
-                raise AttemptFailed("not reachable", Outcome.NOT_RUN)
+                raise AttemptFailed(f"{target.name} is unreachable", Outcome.NOT_RUN)
             delay_s = self.delay_between(failure_domain, target.failure_domain)
             await trio.sleep(delay_s)
             await target.run(call)
@@ -289,11 +317,12 @@
 
 
 def _generate_keys(document: Document, seed: int) -> dict[str, IssuedKey]:
-    """Return a key for each workspace, the same ones for the same seed.
+    """Return a key for each workspace; the same seed gives the same keys.
 
-    The ids of keys decide into how many segments the document is cut, hence how
-    many steps each VM takes to read it. A step more draws once more from the
-    scheduler's seeded shuffle, and all tasks run in another order from there.
+    Key ids must be reproducible for a replay to be so. They determine the number
+    of segments of the document, and with it the number of steps in which each VM
+    reads it. Each step draws from the scheduler's seeded shuffle, so one step more
+    changes the order of all later tasks.
     """
     source = random.Random(seed)
     return {
--- a/packages/measure/plantainshed_measure/slopes.py
+++ b/packages/measure/plantainshed_measure/slopes.py
@@ -1,4 +1,4 @@
-"""Slopes: how state and processor time grow with size, measured at three sizes."""
+"""Measures at three sizes how memory and processor time grow with the size."""
 
 import gc
 import statistics
@@ -38,14 +38,17 @@
 
 @frozen
 class Slope:
-    """How something grows.
+    """Measurements of one quantity at several sizes, and a straight line through them.
 
     Parameters
     ----------
-    what, unit, per : str
+    what : str
+        Name of the quantity.
+    unit, per : str
+        Unit of the values, and of the sizes in the singular.
     sizes : tuple of int
     values : tuple of float
-        Measured, one for each size.
+        The measured value for each size.
     """
 
     what: str
@@ -56,13 +59,13 @@
 
     @property
     def fit(self) -> tuple[float, float]:
-        """Slope and intercept of the best straight line."""
+        """Slope and intercept of the least-squares line."""
         line = statistics.linear_regression(self.sizes, self.values)
         return line.slope, line.intercept
 
     @property
     def residual(self) -> float:
-        """Largest distance from the line, as a share of the largest value."""
+        """Largest deviation from the line, as a fraction of the largest value."""
         slope, intercept = self.fit
         distances = (
             abs(value - slope * size - intercept)
@@ -71,13 +74,13 @@
         return max(distances) / max(max(self.values), 1e-12)
 
     def predict(self, size: int) -> float:
-        """Return the value that the line gives for a size."""
+        """Return the value of the line at a size."""
         slope, intercept = self.fit
         return slope * size + intercept
 
 
 def all_slopes() -> list[Slope]:
-    """Measure every slope."""
+    """Measure all quantities."""
     return [
         _measure_memory(
             "client blocks, packed", "block", (70_000, 140_000, 210_000), _make_blocks
@@ -110,7 +113,7 @@
 
 
 def _measure_memory(what, per, sizes, make: Callable[[int], object]) -> Slope:
-    """Measure the bytes that something keeps, by what its making allocates."""
+    """Measure the memory that the object returned by ``make`` retains, in bytes."""
     values = []
     for size in sizes:
         gc.collect()
@@ -126,9 +129,10 @@
 def _measure_time(
     what, per, sizes, prepare: Callable[[int], Callable[[], object]], times: int = 1
 ) -> Slope:
-    """Measure the processor time of something; the fastest of a few counts.
+    """Measure the processor time of an operation in microseconds.
 
-    ``times`` says how often one run does it.
+    ``prepare`` returns a function that runs the operation ``times`` times. The fastest
+    of `REPEATS` measurements counts.
     """
     values = []
     for size in sizes:
@@ -219,7 +223,10 @@
 
 
 def message_bytes(peers: int) -> dict[str, int]:
-    """Return the sizes of a heartbeat and a full summary in a domain."""
+    """Return the sizes in bytes of a heartbeat and a full summary.
+
+    ``peers`` is the number of VMs in the failure domain.
+    """
     membership = _run_in_trio(lambda: _membership_with(peers))
 
     def measure():
--- a/packages/measure/plantainshed_measure/tally.py
+++ b/packages/measure/plantainshed_measure/tally.py
@@ -1,4 +1,4 @@
-"""Figures of one replay, measured against what was promised."""
+"""Counts the outcomes of one replay and compares them with the configured rates."""
 
 import statistics
 from collections import Counter, defaultdict
@@ -13,10 +13,12 @@
 
 @define
 class ReferenceBucket:
-    """One single bucket with a workspace's whole rate and burst.
+    """A single token bucket with the full rate and burst of a workspace.
 
-    Fed with what was admitted, `deepest` shows by how much the fleet went
-    beyond it; fed with what arrived, `refused` shows what even it refuses.
+    It is the reference for a fleet that divides the rate among its VMs. Given the
+    fleet's admissions, `deepest` is the largest number of tokens by which the fleet
+    exceeded the bucket. Given the arrivals, `refused` is the number of requests
+    that a single bucket would refuse too.
     """
 
     rate: float
@@ -35,13 +37,13 @@
         self.at = now
 
     def spend(self, now: float):
-        """Count an admission, whatever the level."""
+        """Take a token even if none is left."""
         self._refill(now)
         self.level -= 1
         self.deepest = max(self.deepest, -self.level)
 
     def try_take(self, now: float) -> bool:
-        """Admit if there is a token."""
+        """Take a token if there is one, and return whether there was."""
         self._refill(now)
         if self.level < 1:
             self.refused += 1
@@ -53,7 +55,15 @@
 
 @define
 class WorkspaceTally:
-    """What became of one workspace's requests."""
+    """Counts of one workspace's requests by outcome.
+
+    Attributes
+    ----------
+    entitled : int
+        Requests that a single bucket would have admitted.
+    refused : collections.Counter
+        Refusals by reason.
+    """
 
     arrived: int = 0
     entitled: int = 0
@@ -62,7 +72,23 @@
 
 
 class Tally:
-    """Counts of one replay."""
+    """Counts and measurements of one replay.
+
+    Attributes
+    ----------
+    arrivals, admissions : dict of str to ReferenceBucket
+        Reference buckets by workspace, for its arrivals and for its admissions.
+    lost : int
+        Requests that were neither answered nor refused after all attempts.
+    cut : int
+        Exchanges that ended without an answer at a VM that was shut down gracefully.
+    not_run : list of str
+        Operation ids of requests that were reported as not run.
+    headroom_min : float
+        Smallest sampled share of free slots of any region.
+    durations : dict of str to float or None
+        Durations in seconds that faults measured, by name of the figure.
+    """
 
     def __init__(self, document: Document):
         self.workspaces: dict[str, WorkspaceTally] = defaultdict(WorkspaceTally)
@@ -79,13 +105,13 @@
         self.durations: dict[str, float | None] = defaultdict(lambda: None)
 
     def record_arrival(self, workspace: str):
-        """Count a request that comes to the fleet for the first time."""
+        """Count a new request; retries of a request are not counted."""
         counted = self.workspaces[workspace]
         counted.arrived += 1
         counted.entitled += self.arrivals[workspace].try_take(trio.current_time())
 
     def record_admission(self, workspace: str):
-        """Count a request that was let through its workspace's rate."""
+        """Count a request that passed the rate limit of its workspace."""
         self.admissions[workspace].spend(trio.current_time())
 
     def record_answer(self, workspace: str, seconds: float):
@@ -94,11 +120,11 @@
         self.latencies.append(seconds)
 
     def record_refusal(self, workspace: str, reason: str):
-        """Count a request whose last word was a refusal."""
+        """Count a request that was finally refused."""
         self.workspaces[workspace].refused[reason] += 1
 
     def count_wrongful_refusals(self) -> int:
-        """Return refusals beyond those that one single bucket would make."""
+        """Return the number of refusals in excess of those of a single bucket."""
         total = 0
         for name, counted in self.workspaces.items():
             refused = sum(counted.refused[reason] for reason in RATE_REASONS)
@@ -106,14 +132,17 @@
         return total
 
     def refusals(self) -> dict[str, int]:
-        """Return all refusals by reason."""
+        """Return the number of refusals of all workspaces by reason."""
         total = Counter()
         for counted in self.workspaces.values():
             total.update(counted.refused)
         return dict(total)
 
     def worst_workspace(self) -> tuple[str, float]:
-        """Return the workspace with the least served of what it was entitled to."""
+        """Return the worst-served workspace and its share of answered requests.
+
+        The share is relative to the requests that the workspace was entitled to.
+        """
         shares = {
             name: min(1.0, counted.answered / counted.entitled)
             for name, counted in self.workspaces.items()
@@ -123,7 +152,7 @@
         return name, round(shares[name], 4)
 
     def overshoot(self) -> float:
-        """Return the most that any workspace got beyond its rate and burst."""
+        """Return the largest excess of any workspace over its rate and burst."""
         deepest = max(bucket.deepest for bucket in self.admissions.values())
         return round(max(0.0, deepest - ROUNDING_TOLERANCE), 3)
 
@@ -143,7 +172,15 @@
 
 
 def excess_over_cap(times: list[float], cap: float, burst: float) -> float:
-    """Return by how many requests a stream went beyond a cap."""
+    """Return by how many requests a stream exceeded a rate cap.
+
+    Parameters
+    ----------
+    times : list of float
+        Times of the requests in seconds.
+    cap, burst : float
+        Rate and burst of the token bucket that they are compared with.
+    """
     bucket = ReferenceBucket(cap, burst)
     for at in sorted(times):
         bucket.spend(at)
--- a/packages/measure/plantainshed_measure/trace.py
+++ b/packages/measure/plantainshed_measure/trace.py
@@ -1,13 +1,14 @@
-"""Traces: arrivals and faults with their times, and the outcomes expected.
+"""Trace files: timed request arrivals and faults, and limits for the figures.
 
-A trace is JSON lines. The first has the deployment and the length, the last
-the outcomes. In between, each line has a time ``t`` in seconds and either
+A trace is a file of JSON lines. The first line holds the deployment and the length,
+the last line the limits. Each line in between has a time ``t`` in seconds and either
 
-- ``requests``: a list of ``[workspace, pool, home, count]``; so many requests
-  come at random times, the same in each replay, within the next `SLICE_S`; or
-- ``fault``: the name of something that happens, with its arguments.
+- ``requests``: a list of ``[workspace, pool, home, count]``. ``count`` requests
+  arrive at random times within the next `SLICE_S` seconds; the times are the same in
+  each replay; or
+- ``fault``: the name of a fault, along with its arguments.
 
-A trace that was recorded elsewhere has one request to a line, with count 1.
+A trace that was recorded on another system has one request per line, with count 1.
 """
 
 import json
@@ -20,7 +21,15 @@
 
 @frozen
 class Arrivals:
-    """Requests of one kind within one slice of time."""
+    """Requests that arrive within one time slice and share these properties.
+
+    Parameters
+    ----------
+    workspace, pool : str
+    home : str
+        Failure domain that the requests come from.
+    count : int
+    """
 
     workspace: str
     pool: str
@@ -30,7 +39,7 @@
 
 @frozen
 class TraceEvent:
-    """One line of a trace.
+    """One line of a trace: either arrivals or a fault.
 
     Parameters
     ----------
@@ -38,7 +47,9 @@
         Seconds from the start.
     requests : list of Arrivals
     fault : str
+        Name of a function in `faults`; empty for arrivals.
     arguments : dict
+        Keyword arguments of that function.
     """
 
     t: float
@@ -49,7 +60,7 @@
 
 @frozen
 class Trace:
-    """A whole trace.
+    """A trace file in memory.
 
     Parameters
     ----------
@@ -57,7 +68,8 @@
     length_s : float
     events : list of TraceEvent
     limits : dict of str to float
-        The largest value that each figure may have.
+        The largest allowed value of each figure; for ``worst_workspace`` it is the
+        smallest.
     """
 
     name: str
--- a/packages/measure/plantainshed_measure/transports.py
+++ b/packages/measure/plantainshed_measure/transports.py
@@ -1,4 +1,4 @@
-"""What a message costs: a gRPC call, a round trip on a stream, a datagram."""
+"""Measures the cost of a gRPC call, a TCP round trip and a UDP datagram."""
 
 import statistics
 import time
@@ -17,7 +17,10 @@
 
 
 async def transport_costs() -> dict[str, float]:
-    """Return processor time in microseconds, both ends together, by kind."""
+    """Return the processor time by kind of message, in microseconds.
+
+    It includes both the sender and the receiver.
+    """
     return {
         "gRPC call, to and from trio": await _measure_grpc(),
         "TCP stream, round trip": await _measure_stream(),
