--- a/tests/measure/test_replay.py
+++ b/tests/measure/test_replay.py
@@ -1,4 +1,4 @@
-"""A replay repeats: nothing but its trace and policy decides how it goes."""
+"""Tests that a replay is reproducible: it depends only on its trace and policy."""
 
 import json
 import os
@@ -22,8 +22,8 @@
 
 EXAMPLES = Path("examples").resolve()
 TRACES = Path("traces").resolve()
-# Between them they have every fault of the traces, and both deployments.
-EACH_FAULT = (
+# Together these contain every fault that the traces use, and both deployments.
+TRACES_WITH_ALL_FAULTS = (
     "cerimonia-domain-cut-off",
     "cerimonia-region-lost",
     "cerimonia-shift-rising",
@@ -32,8 +32,8 @@
     "maracas-bay-rolling-replacement",
     "maracas-bay-slow-targets",
 )
-TIMES_SHORTER = 8
-KINDS_A_SLICE = 2
+SHORTENING_FACTOR = 8
+ARRIVALS_PER_SLICE = 2
 REQUESTS = [
     Arrivals("cuneo", "calendario", "tor-a", 20),
     Arrivals("milano", "calendario", "mil-a", 20),
@@ -54,13 +54,13 @@
 )
 
 
-class TestRepeats(unittest.TestCase):
-    """A small trace played again gives the same outcome, to the last counter.
+class TestReproducibility(unittest.TestCase):
+    """Replaying the same trace twice gives identical figures.
 
-    `make measure` gave other figures in a second run, with nothing changed in
-    between: 282 wrongful refusals in one, 310 in the other for the same trace and
-    policy. Whoever compares two policies, or before and after a change, took the
-    difference of two runs for an effect of the change.
+    Guards against replays that depend on randomness outside the trace: two runs of
+    `make measure` without any change counted 282 and 310 wrongful refusals for the
+    same trace and policy. Such a difference looks like an effect of the policy or of
+    the code change that is being compared.
     """
 
     maxDiff = None
@@ -70,36 +70,39 @@
         self.assertEqual(first, second)
 
     def test_in_two_processes(self):
-        """The seed of hashes is another one, so that no order may come from sets."""
+        """The hash seeds differ, so that a dependence on set order shows up."""
         with tempfile.TemporaryDirectory() as name:
             root = Path(name)
             (root / "examples").symlink_to(EXAMPLES)
             (root / "traces").mkdir()
-            shorter = [_shorter(read_trace(TRACES / f"{n}.jsonl")) for n in EACH_FAULT]
-            for trace in (SMALL, *shorter):
+            shortened = [
+                _shorten(read_trace(TRACES / f"{n}.jsonl"))
+                for n in TRACES_WITH_ALL_FAULTS
+            ]
+            for trace in (SMALL, *shortened):
                 write_trace(root / "traces" / f"{trace.name}.jsonl", trace)
             processes = [_start_measure(root, hash_seed) for hash_seed in (1, 2)]
             first, second = (_figures(process) for process in processes)
-        self.assertEqual(len(first), len(EACH_FAULT) + 1)
+        self.assertEqual(len(first), len(TRACES_WITH_ALL_FAULTS) + 1)
         self.assertEqual(first, second)
 
 
-def _shorter(trace: Trace) -> Trace:
-    """Return a trace with its faults in quick succession, and few requests."""
+def _shorten(trace: Trace) -> Trace:
+    """Return a shorter trace with the same faults and fewer requests."""
     events = []
     for item in trace.events:
         arguments = dict(item.arguments)
         if "seconds" in arguments:
-            arguments["seconds"] /= TIMES_SHORTER
+            arguments["seconds"] /= SHORTENING_FACTOR
         events.append(
             evolve(
                 item,
-                t=item.t / TIMES_SHORTER,
-                requests=item.requests[:KINDS_A_SLICE],
+                t=item.t / SHORTENING_FACTOR,
+                requests=item.requests[:ARRIVALS_PER_SLICE],
                 arguments=arguments,
             )
         )
-    length_s = trace.length_s / TIMES_SHORTER
+    length_s = trace.length_s / SHORTENING_FACTOR
     return evolve(trace, length_s=length_s, events=events, limits={})
 
 
