--- a/packages/measure/plantainshed_measure/bench.py
+++ b/packages/measure/plantainshed_measure/bench.py
@@ -1,7 +1,8 @@
-"""Speed, as ratios within one run: ``python -m plantainshed_measure.bench``.
+"""Benchmarks of look-ups, memory and relaying.
 
-Absolute figures depend on the machine; each comparison is therefore made
-against something that runs beside it in the same process and run.
+Run them as ``python -m plantainshed_measure.bench``. Absolute times depend on the
+machine, so the cost of relaying is also compared with a minimal relay that runs in
+the same process.
 """
 
 import json
@@ -27,13 +28,13 @@
 LOOKUPS = 200_000
 REQUESTS = 1500
 ROUNDS = 5
-LOOKUPS_WANTED = 50_000
-MEMORY_WANTED_MB = 64
-RELAY_RATIO_WANTED = 2.5
+MIN_LOOKUPS_PER_S = 50_000
+MAX_MEMORY_MB = 64
+MAX_RELAY_RATIO = 2.5
 
 
 def large_document(blocks: int = BLOCKS) -> Document:
-    """Return a document of the planned size, with nothing but topology."""
+    """Return a document of the planned size that contains only the topology."""
     domains = tuple(
         FailureDomain(f"d{number:02d}", f"r{number % REGIONS:02d}")
         for number in range(DOMAINS)
@@ -51,11 +52,11 @@
     return ".".join(str(address >> shift & 255) for shift in (24, 16, 8, 0)) + "/24"
 
 
-class OneDomain:
-    """Stands in for steering and membership: the decision is what is timed."""
+class StubDependencies:
+    """Stub of steering and membership, so that only the look-up decision is timed."""
 
     class Identity:
-        """The VM that is asked."""
+        """Identity of the VM that answers the look-ups."""
 
         vm = "d00-1"
         failure_domain = "d00"
@@ -72,14 +73,14 @@
 
 
 def bench_lookup() -> dict:
-    """Time look-up decisions with all blocks loaded, and the memory they take."""
+    """Measure the rate of look-up decisions with all client blocks loaded."""
     segments = to_segments(large_document())
     in_force = index_document(
         Revision(1, "c", "", {n: n for n in segments}, "", "", ""),
         segments,
         empty_indexed_document(),
     )
-    lookup = Lookup(OneDomain(), OneDomain())
+    lookup = Lookup(StubDependencies(), StubDependencies())
     lookup.in_force = in_force
     lookup._work_out = lambda pool, home, bucket: (pool, home, bucket)
     addresses = [_cidr(number * 37 % BLOCKS)[:-4] + "9" for number in range(5000)]
@@ -94,26 +95,26 @@
 
 
 def bench_memory() -> dict:
-    """Measure a daemon's memory with all blocks loaded."""
+    """Measure the memory of a daemon with all client blocks loaded."""
     figures = measure_in_new_process(to_segments(large_document()))
     return {"memory_mb": figures["loaded_mb"], "imports_mb": figures["imported_mb"]}
 
 
 async def bench_relay() -> dict:
-    """Time a proxied request against a relay that does nothing else.
+    """Compare the processor time of a request through a daemon and a minimal relay.
 
-    Both run in this process against the same target and caller, in turn; the
-    cost of target and caller, measured without any relay, is taken off both.
+    Both run in turn in this process, with the same target and caller. The cost of the
+    target and the caller is measured without a relay and subtracted from both.
     """
     async with trio.open_nursery() as nursery:
         target = await nursery.start(serve_target)
         bare = await nursery.start(bare_relay, target)
         entry, key = await nursery.start(entry_relay, target)
         costs = {"direct": [], "bare": [], "entry": []}
-        ways = {"direct": target, "bare": bare, "entry": entry}
+        addresses = {"direct": target, "bare": bare, "entry": entry}
         for _ in range(ROUNDS):
-            for name, address in ways.items():
-                costs[name].append(await _cost(address, key))
+            for name, address in addresses.items():
+                costs[name].append(await _measure_request(address, key))
         nursery.cancel_scope.cancel()
     direct, bare_cost, entry_cost = (
         statistics.median(costs[name]) for name in ("direct", "bare", "entry")
@@ -125,7 +126,7 @@
     }
 
 
-async def _cost(address: str, key: bytes) -> float:
+async def _measure_request(address: str, key: bytes) -> float:
     connection = await ClientConnection.open(address, 2)
     headers = [(b"authorization", b"Bearer " + key)]
     for _ in range(20):
@@ -139,18 +140,18 @@
 
 
 def main():
-    """Run all benchmarks; exit with 1 when one misses what is wanted."""
+    """Run all benchmarks; exit with status 1 if one misses its limit."""
     figures = {**bench_lookup(), **bench_memory(), **trio.run(bench_relay)}
-    wanted = {
-        "lookups_s": figures["lookups_s"] >= LOOKUPS_WANTED,
-        "memory_mb": figures["memory_mb"] <= MEMORY_WANTED_MB,
-        "ratio": figures["ratio"] <= RELAY_RATIO_WANTED,
+    passed = {
+        "lookups_s": figures["lookups_s"] >= MIN_LOOKUPS_PER_S,
+        "memory_mb": figures["memory_mb"] <= MAX_MEMORY_MB,
+        "ratio": figures["ratio"] <= MAX_RELAY_RATIO,
     }
     for name, value in figures.items():
-        verdict = {True: "ok", False: "MISSED", None: ""}[wanted.get(name)]
+        verdict = {True: "ok", False: "MISSED", None: ""}[passed.get(name)]
         print(f"{name:<16} {value:>12} {verdict}")
     print(json.dumps(figures))
-    sys.exit(0 if all(wanted.values()) else 1)
+    sys.exit(0 if all(passed.values()) else 1)
 
 
 if __name__ == "__main__":
--- a/packages/measure/plantainshed_measure/bench_parts.py
+++ b/packages/measure/plantainshed_measure/bench_parts.py
@@ -1,4 +1,4 @@
-"""What the benchmark of relaying compares: a target, a bare relay, a daemon."""
+"""Servers for the relay benchmark: a target, a minimal relay and an entry daemon."""
 
 import h11
 import trio
@@ -23,7 +23,7 @@
 from plantainshed_standins.platform_server import PlatformServer
 
 LOOPBACK = "127.0.0.1"
-ANSWER = b"x" * 512
+RESPONSE_BODY = b"x" * 512
 RATE = 1_000_000.0
 
 
@@ -33,10 +33,10 @@
 
 
 async def serve_target(task_status):
-    """Serve a target that answers at once."""
+    """Serve a target that responds immediately."""
 
     async def handle(exchange):
-        await exchange.reply(200, [], ANSWER)
+        await exchange.reply(200, [], RESPONSE_BODY)
 
     listeners, address = await _open_listeners()
     task_status.started(address)
@@ -44,16 +44,16 @@
 
 
 async def bare_relay(target: str, task_status):
-    """Serve a relay of h11 and trio that does nothing but relay."""
+    """Serve a minimal relay, built from h11 and trio."""
 
     async def relay(stream):
         caller = h11.Connection(h11.SERVER)
         upstream = await ClientConnection.open(target, 2)
         while True:
-            request = await _next(caller, stream)
+            request = await _next_event(caller, stream)
             if not isinstance(request, h11.Request):
                 return
-            while not isinstance(await _next(caller, stream), h11.EndOfMessage):
+            while not isinstance(await _next_event(caller, stream), h11.EndOfMessage):
                 pass
             await upstream.send_head(
                 request.method.decode(), request.target.decode(), request.headers
@@ -73,7 +73,7 @@
     await trio.serve_listeners(relay, listeners)
 
 
-async def _next(connection: h11.Connection, stream):
+async def _next_event(connection: h11.Connection, stream):
     while True:
         event = connection.next_event()
         if event is not h11.NEED_DATA:
@@ -82,7 +82,7 @@
 
 
 async def entry_relay(target: str, task_status):
-    """Run an entry daemon with one target; tell its address and a key."""
+    """Run an entry daemon with one target; report its address and an API key."""
     key = issue_key("w")
     document = Document(
         regions=(Region("r"),),
--- a/packages/measure/plantainshed_measure/slopes.py
+++ b/packages/measure/plantainshed_measure/slopes.py
@@ -1,4 +1,4 @@
-"""Slopes: how state and processor time grow with size, measured at three sizes."""
+"""Measures at three sizes how memory and processor time grow with the size."""
 
 import gc
 import statistics
@@ -33,19 +33,22 @@
 from .bench import large_document
 
 REPEATS = 3
-BEATS = 20
+HEARTBEATS = 20
 
 
 @frozen
 class Slope:
-    """How something grows.
+    """Measurements of one quantity at several sizes, and a straight line through them.
 
     Parameters
     ----------
-    what, unit, per : str
+    what : str
+        Name of the quantity.
+    unit, per : str
+        Unit of the values, and of the sizes in the singular.
     sizes : tuple of int
     values : tuple of float
-        Measured, one for each size.
+        The measured value for each size.
     """
 
     what: str
@@ -56,13 +59,13 @@
 
     @property
     def fit(self) -> tuple[float, float]:
-        """Slope and intercept of the best straight line."""
+        """Slope and intercept of the least-squares line."""
         line = statistics.linear_regression(self.sizes, self.values)
         return line.slope, line.intercept
 
     @property
     def residual(self) -> float:
-        """Largest distance from the line, as a share of the largest value."""
+        """Largest deviation from the line, as a fraction of the largest value."""
         slope, intercept = self.fit
         distances = (
             abs(value - slope * size - intercept)
@@ -70,30 +73,47 @@
         )
         return max(distances) / max(max(self.values), 1e-12)
 
-    def at(self, size: int) -> float:
-        """Return the value that the line gives for a size."""
+    def predict(self, size: int) -> float:
+        """Return the value of the line at a size."""
         slope, intercept = self.fit
         return slope * size + intercept
 
 
 def all_slopes() -> list[Slope]:
-    """Measure every slope."""
+    """Measure all quantities."""
     return [
-        _memory("client blocks, packed", "block", (70_000, 140_000, 210_000), _blocks),
-        _memory("member records", "peer", (100, 300, 900), _members),
-        _memory("rate parts", "workspace", (500, 1000, 2000), _rate_parts),
-        _memory("targets with slots", "target", (500, 1000, 2000), _targets),
-        _time(
-            "change applied, blocks unchanged", "workspace", (500, 1000, 2000), _apply
+        _measure_memory(
+            "client blocks, packed", "block", (70_000, 140_000, 210_000), _make_blocks
+        ),
+        _measure_memory("member records", "peer", (100, 300, 900), _make_members),
+        _measure_memory("rate parts", "workspace", (500, 1000, 2000), _make_rate_parts),
+        _measure_memory(
+            "targets with slots", "target", (500, 1000, 2000), _make_targets
+        ),
+        _measure_time(
+            "change applied, blocks unchanged",
+            "workspace",
+            (500, 1000, 2000),
+            _prepare_apply,
+        ),
+        _measure_time(
+            "blocks rebuilt", "block", (20_000, 40_000, 80_000), _prepare_rebuild
+        ),
+        _measure_time(
+            "heartbeat made and read",
+            "domain peer",
+            (8, 17, 34),
+            _prepare_heartbeat,
+            HEARTBEATS,
+        ),
+        _measure_time(
+            "rebalance division", "holder", (100, 300, 900), _prepare_division
         ),
-        _time("blocks rebuilt", "block", (20_000, 40_000, 80_000), _rebuild),
-        _time("heartbeat made and read", "domain peer", (8, 17, 34), _heartbeat, BEATS),
-        _time("rebalance division", "holder", (100, 300, 900), _division),
     ]
 
 
-def _memory(what, per, sizes, make: Callable[[int], object]) -> Slope:
-    """Measure the bytes that something keeps, by what its making allocates."""
+def _measure_memory(what, per, sizes, make: Callable[[int], object]) -> Slope:
+    """Measure the memory that the object returned by ``make`` retains, in bytes."""
     values = []
     for size in sizes:
         gc.collect()
@@ -106,21 +126,22 @@
     return Slope(what, "bytes", per, tuple(sizes), tuple(values))
 
 
-def _time(
+def _measure_time(
     what, per, sizes, prepare: Callable[[int], Callable[[], object]], times: int = 1
 ) -> Slope:
-    """Measure the processor time of something; the fastest of a few counts.
+    """Measure the processor time of an operation in microseconds.
 
-    ``times`` says how often one run does it.
+    ``prepare`` returns a function that runs the operation ``times`` times. The fastest
+    of `REPEATS` measurements counts.
     """
     values = []
     for size in sizes:
         run = prepare(size)
-        values.append(min(_seconds(run) for _ in range(REPEATS)) * 1e6 / times)
+        values.append(min(_measure_seconds(run) for _ in range(REPEATS)) * 1e6 / times)
     return Slope(what, "us", per, tuple(sizes), tuple(values))
 
 
-def _seconds(run) -> float:
+def _measure_seconds(run) -> float:
     times = 0
     began = time.process_time()
     while time.process_time() - began < 0.05:
@@ -129,7 +150,7 @@
     return (time.process_time() - began) / times
 
 
-def _blocks(count: int):
+def _make_blocks(count: int):
     return BlockTable(iter(large_document(count).blocks))
 
 
@@ -149,29 +170,29 @@
     )
 
 
-def _members(count: int):
+def _make_members(count: int):
     table = MemberTable()
     for number in range(count):
         table.merge(_record(number), 0.0)
     return table
 
 
-def _in_trio(function):
+def _run_in_trio(function):
     async def body():
         return function()
 
     return trio.run(body)
 
 
-def _rate_parts(count: int):
+def _make_rate_parts(count: int):
     specs = [
         BudgetSpec(f"workspace/w{n}", BudgetKind.RATE, rate=10.0, burst=5.0)
         for n in range(count)
     ]
-    return _in_trio(lambda: {spec.name: RatePart(spec) for spec in specs})
+    return _run_in_trio(lambda: {spec.name: RatePart(spec) for spec in specs})
 
 
-def _targets(count: int):
+def _make_targets(count: int):
     pool = Pool("p", "/p", 9, 400)
 
     def make():
@@ -182,10 +203,10 @@
             states[target.name] = TargetState(target, pool, CountPart(spec))
         return states
 
-    return _in_trio(make)
+    return _run_in_trio(make)
 
 
-def _apply(count: int):
+def _prepare_apply(count: int):
     from plantainshed_model.document import Document, Workspace
 
     document = Document(
@@ -196,14 +217,17 @@
     return lambda: index_document(revision, segments, empty_indexed_document())
 
 
-def _rebuild(count: int):
+def _prepare_rebuild(count: int):
     blocks = large_document(count).blocks
     return lambda: BlockTable(iter(blocks))
 
 
 def message_bytes(peers: int) -> dict[str, int]:
-    """Return the sizes of a heartbeat and a full summary in a domain."""
-    membership = _in_trio(lambda: _membership_with(peers))
+    """Return the sizes in bytes of a heartbeat and a full summary.
+
+    ``peers`` is the number of VMs in the failure domain.
+    """
+    membership = _run_in_trio(lambda: _membership_with(peers))
 
     def measure():
         summary = membership.summaries._summary_of("d00", full=True)
@@ -213,7 +237,7 @@
             "summary": Envelope(vm="d00-0", summary=summary).ByteSize(),
         }
 
-    return _in_trio(measure)
+    return _run_in_trio(measure)
 
 
 def _membership_with(peers: int) -> Membership:
@@ -229,12 +253,12 @@
     return membership
 
 
-def _heartbeat(peers: int):
-    membership = _in_trio(lambda: _membership_with(peers))
+def _prepare_heartbeat(peers: int):
+    membership = _run_in_trio(lambda: _membership_with(peers))
 
     def run():
         async def body():
-            for _ in range(BEATS):
+            for _ in range(HEARTBEATS):
                 envelope = Envelope(vm="d00-0", heartbeat=membership._heartbeat())
                 received = Envelope()
                 received.ParseFromString(envelope.SerializeToString())
@@ -245,6 +269,6 @@
     return run
 
 
-def _division(holders: int):
+def _prepare_division(holders: int):
     wanted = {f"vm-{n}~1": float(n % 7) for n in range(holders)}
     return lambda: divide(1_000_000, wanted)
--- a/packages/measure/plantainshed_measure/transports.py
+++ b/packages/measure/plantainshed_measure/transports.py
@@ -1,4 +1,4 @@
-"""What a message costs: a gRPC call, a round trip on a stream, a datagram."""
+"""Measures the cost of a gRPC call, a TCP round trip and a UDP datagram."""
 
 import statistics
 import time
@@ -17,11 +17,14 @@
 
 
 async def transport_costs() -> dict[str, float]:
-    """Return processor time in microseconds, both ends together, by kind."""
+    """Return the processor time by kind of message, in microseconds.
+
+    It includes both the sender and the receiver.
+    """
     return {
-        "gRPC call, to and from trio": await _grpc(),
-        "TCP stream, round trip": await _stream(),
-        "UDP datagram, one way, authenticated": await _datagram(),
+        "gRPC call, to and from trio": await _measure_grpc(),
+        "TCP stream, round trip": await _measure_stream(),
+        "UDP datagram, one way, authenticated": await _measure_datagram(),
     }
 
 
@@ -34,12 +37,12 @@
     return round(statistics.median(costs), 1)
 
 
-async def _grpc() -> float:
-    async def refuse(request):
+async def _measure_grpc() -> float:
+    async def reply_empty(request):
         return ControlReply()
 
     client = ControlClient()
-    async with serve_control(LOOPBACK, lambda name: MESSAGE, refuse) as port:
+    async with serve_control(LOOPBACK, lambda name: MESSAGE, reply_empty) as port:
 
         async def calls(times: int):
             for _ in range(times):
@@ -50,7 +53,7 @@
     return cost
 
 
-async def _stream() -> float:
+async def _measure_stream() -> float:
     async def echo(stream):
         while data := await stream.receive_some(65536):
             await stream.send_all(data)
@@ -71,7 +74,7 @@
     return cost
 
 
-async def _datagram() -> float:
+async def _measure_datagram() -> float:
     sender = await DatagramTransport.open(LOOPBACK, b"secret")
     receiver = await DatagramTransport.open(LOOPBACK, b"secret")
 
