--- a/Makefile
+++ b/Makefile
@@ -1,20 +1,20 @@
-# Every command a newcomer needs; each sets up .venv by itself on first use.
+# Common development commands. Each creates .venv on first use.
 PYTHON ?= python3
-# Sets iterate in the same order in each run, so that replays do the same.
+# Fixes the iteration order of sets, so that replays are deterministic.
 export PYTHONHASHSEED := 0
 BIN := .venv/bin
 DEPLOYMENT ?= cerimonia
 PACKAGES := packages/coordination packages/model packages/http packages/standins \
 	packages/entry packages/operator packages/measure packages/gateway platform
 
-# Draws the faults of `make soak`, and how long they go on, in seconds.
+# Random seed of the faults of `make soak`, and how long they last, in seconds.
 SEED ?= 1
 DURATION ?= 30
 
-# What `make experiment` plays.
+# Experiment that `make experiment` runs.
 FILE ?= examples/experiments/far-regions.ini
 
-# What `make model` plays; OPTIONS="--seed 7" replays one.
+# Experiment that `make model` runs; OPTIONS="--seed 7" replays one seed.
 LIMITS ?= examples/experiments/limits.ini
 OPTIONS ?=
 
