--- a/packages/measure/plantainshed_measure/__main__.py
+++ b/packages/measure/plantainshed_measure/__main__.py
@@ -33,8 +33,8 @@
 def _replay_one(path: Path, examples: Path, policy):
     trace = read_trace(path)
     figures = replay(trace, examples, policy)
-    wrong = violations(figures, trace) if policy == CHOSEN else []
-    return figures, wrong
+    found = violations(figures, trace) if policy == CHOSEN else []
+    return figures, found
 
 
 def measure(only: str = "", policy: str = "", root: str = ".", jobs: int = 6):
@@ -60,19 +60,19 @@
     examples = Path(root, "examples")
     with ProcessPoolExecutor(jobs) as pool:
         futures = [
-            pool.submit(_replay_one, path, examples, chosen)
+            pool.submit(_replay_one, path, examples, selected)
             for path in paths
-            for chosen in policies
+            for selected in policies
         ]
         results = [future.result() for future in futures]
     _print_table([figures for figures, _ in results])
     for figures, _ in results:
         print(json.dumps(figures))
-    wrong = [(f, w) for f, found in results for w in found]
-    for figures, violation in wrong:
+    all_violations = [(figures, one) for figures, found in results for one in found]
+    for figures, violation in all_violations:
         print(f"VIOLATION {figures['trace']}: {violation}")
     print(f"{len(results)} replays in {time.monotonic() - began_at:.0f} s")
-    if wrong:
+    if all_violations:
         sys.exit(1)
 
 
--- a/packages/measure/plantainshed_measure/limits_checks.py
+++ b/packages/measure/plantainshed_measure/limits_checks.py
@@ -143,10 +143,10 @@
     return Window(name, ends_at, count, in_window + tolerance, tolerance_used)
 
 
-def count_wrongful_refusals(
+def count_refusals_within_rate(
     history: RequestHistory, bounds: Bounds, name: str, period_at
 ) -> tuple[Counter, Counter]:
-    """Count the requests sent within a workspace's rate, and the wrongful refusals.
+    """Count the requests sent within a workspace's rate, and the refused ones of them.
 
     A request within the rate counts as refused if it is refused or if it waits for
     an answer from another region.
--- a/packages/measure/plantainshed_measure/limits_faults.py
+++ b/packages/measure/plantainshed_measure/limits_faults.py
@@ -12,8 +12,8 @@
 from .limits_demand import HOT_WORKSPACE
 from .limits_model import ModelFleet, VmLocation
 
-# Time after a fault in which VMs receive each other's heartbeats again and the
-# shares of the quota are redistributed.
+# Time after the end of a fault until the VMs have received each other's heartbeats
+# again and have redistributed the shares of the quota.
 HEALING_S = 8.0
 # Earliest start of a fault, except for an early network cut.
 WARMUP_S = 0.3
--- a/packages/measure/plantainshed_measure/limits_model.py
+++ b/packages/measure/plantainshed_measure/limits_model.py
@@ -259,7 +259,7 @@
         Draws how long VM starts and configuration changes take.
     history : RequestHistory
     on_vm_created : callable
-        Called with each VM before it runs; tests use it to inject a defect.
+        Called with each VM before it runs. Tests use it to inject a defect.
 
     Attributes
     ----------
--- a/packages/measure/plantainshed_measure/limits_search.py
+++ b/packages/measure/plantainshed_measure/limits_search.py
@@ -1,9 +1,9 @@
 """``python -m plantainshed_measure.limits_search``: search for violations of quotas.
 
 An INI file lists the sizes of fleets, the distances between regions and the kinds of
-fault. Each seed draws one of each, and the load that callers send. Each simulation
-runs on its own virtual clock, and the admitted requests are then checked against the
-quotas.
+fault. There is one simulation for each seed. Its random generator chooses a size, a
+distance, a kind of fault and the load from callers. Each simulation runs on its own
+virtual clock. At its end, the admitted requests are checked against the quotas.
 """
 
 import configparser
@@ -28,7 +28,7 @@
     Period,
     RequestHistory,
     Window,
-    count_wrongful_refusals,
+    count_refusals_within_rate,
     fullest_window,
 )
 from .limits_demand import draw_load_phases, draw_workspaces, send_requests
@@ -47,8 +47,8 @@
 LATE_SHARES = (0.0, 0.0, 0.02)
 LATE_S = 1.5
 JITTERS = (0.05, 0.5)
-# The hot workspace starts to exceed its rate at some time between this many seconds
-# before the start of a fault and this many seconds after its end.
+# The hot workspace starts to exceed its rate at a random time between this many
+# seconds before the start of a fault and this many seconds after its end.
 HOT_MARGIN_S = 3.0
 
 
@@ -65,7 +65,7 @@
 
 @frozen
 class Limits:
-    """The range of simulations to search.
+    """The settings of a search, read from a limits file.
 
     Parameters
     ----------
@@ -220,7 +220,7 @@
     size: int | None = None,
     distance: str | None = None,
 ) -> Case:
-    """Draw the parameters of a seed's simulation; given values take precedence."""
+    """Draw the parameters of a seed's simulation; arguments override drawn values."""
     rng = random.Random(f"case {seed}")
     drawn_size = rng.choices(list(limits.sizes), list(limits.sizes.values()))[0]
     drawn_distance = rng.choice(list(limits.distances))
@@ -254,7 +254,7 @@
     limits : Limits
     case : Case
     on_vm_created : callable
-        Called with each VM before it runs; tests use it to inject a defect.
+        Called with each VM before it runs. Tests use it to inject a defect.
     """
 
     async def run():
@@ -368,7 +368,7 @@
             window = fullest_window(history, bounds, name)
             if window is not None:
                 windows.append(window)
-            counts = count_wrongful_refusals(history, bounds, name, self._period_at)
+            counts = count_refusals_within_rate(history, bounds, name, self._period_at)
             within_rate.update(counts[0])
             refused.update(counts[1])
         requests = sum(len(outcomes) for outcomes in history.requests.values())
--- a/packages/measure/plantainshed_measure/make_traces.py
+++ b/packages/measure/plantainshed_measure/make_traces.py
@@ -48,8 +48,8 @@
 
         Most requests come from one domain, which is drawn for each workspace.
         """
-        chooser = random.Random(f"{SEED}/{workspace}")
-        main = chooser.randrange(len(self.homes))
+        rng = random.Random(f"{SEED}/{workspace}")
+        main = rng.randrange(len(self.homes))
         return [12.0 if i == main else 1.0 for i in range(len(self.homes))]
 
     def draw_arrivals(self, length_s: float, factors=None, start_s: float = 0.0):
@@ -84,12 +84,12 @@
         return self.random.choices(self.homes, self.home_weights(workspace))[0]
 
 
-def _poisson(chooser: random.Random, mean: float) -> int:
+def _poisson(rng: random.Random, mean: float) -> int:
     """Draw a Poisson-distributed number of arrivals."""
-    count, passed = 0, chooser.expovariate(1.0)
+    count, passed = 0, rng.expovariate(1.0)
     while passed < mean:
         count += 1
-        passed += chooser.expovariate(1.0)
+        passed += rng.expovariate(1.0)
     return count
 
 
--- a/packages/measure/plantainshed_measure/placing_policies.py
+++ b/packages/measure/plantainshed_measure/placing_policies.py
@@ -59,7 +59,7 @@
 
 
 def choose_least_loaded(vm: PolicyVm, call: Call) -> TargetState | None:
-    """Choose the target with the lowest load that this VM knows of."""
+    """Choose the target with the lowest load, as far as this VM knows."""
     tie_breaker = vm.placement.random.random
     return min(vm.states(), key=lambda state: (state.occupancy, tie_breaker()))
 
--- a/packages/measure/plantainshed_measure/replay.py
+++ b/packages/measure/plantainshed_measure/replay.py
@@ -83,10 +83,10 @@
 
     The generator is seeded with the event's time, so each replay draws the same.
     """
-    chooser = random.Random(item.t)
+    rng = random.Random(item.t)
     began_at = trio.current_time()
     planned = [
-        (chooser.random() * SLICE_S, arrivals)
+        (rng.random() * SLICE_S, arrivals)
         for arrivals in item.requests
         for _ in range(arrivals.count)
     ]
@@ -98,19 +98,22 @@
 
 
 def _record_admissions(rig: Rig, tally: Tally):
-    """Record the admissions of all nodes, including those that start later."""
+    """Record the admissions of all VMs, including those that start later.
+
+    Wraps each VM's `Admission.take_rate_token`.
+    """
     start_vm = rig.start_vm
 
     def start_recorded_vm(vm: str):
         start_vm(vm)
         admission = rig.vms[vm].node.admission
-        take_rate_token = admission.take_rate_token
+        original_take_rate_token = admission.take_rate_token
 
-        async def spend(workspace):
-            await take_rate_token(workspace)
+        async def take_and_record(workspace):
+            await original_take_rate_token(workspace)
             tally.record_admission(workspace.name)
 
-        admission.take_rate_token = spend
+        admission.take_rate_token = take_and_record
 
     rig.start_vm = start_recorded_vm
 
@@ -147,7 +150,7 @@
     answered = sum(counted.answered for counted in tally.workspaces.values())
     entitled = sum(counted.entitled for counted in tally.workspaces.values())
     worst, worst_share = tally.worst_workspace()
-    wrongful = tally.count_wrongful_refusals()
+    wrongful_refusals = tally.count_wrongful_refusals()
     seconds, sent, messages, calls = (b - a for a, b in zip(before, after, strict=True))
     vms = len(rig.domain_of)
     return {
@@ -158,8 +161,8 @@
         "answered": answered,
         "refused": tally.refusals(),
         "overshoot": tally.overshoot(),
-        "wrongful_refusals": wrongful,
-        "wrongful_share": round(wrongful / max(1, entitled), 5),
+        "wrongful_refusals": wrongful_refusals,
+        "wrongful_share": round(wrongful_refusals / max(1, entitled), 5),
         "worst_workspace": worst_share,
         "worst_workspace_name": worst,
         "p50_ms": tally.percentile_ms(50),
--- a/packages/measure/plantainshed_measure/tally.py
+++ b/packages/measure/plantainshed_measure/tally.py
@@ -124,7 +124,7 @@
         self.workspaces[workspace].refused[reason] += 1
 
     def count_wrongful_refusals(self) -> int:
-        """Return the number of refusals in excess of those of a single bucket."""
+        """Return the number of refusals that a single token bucket would not make."""
         total = 0
         for name, counted in self.workspaces.items():
             refused = sum(counted.refused[reason] for reason in RATE_REASONS)
--- a/packages/operator/plantainshed/demo/callers.py
+++ b/packages/operator/plantainshed/demo/callers.py
@@ -15,7 +15,7 @@
 
 CONNECT_TIMEOUT_S = 2.0
 REQUEST_TIMEOUT_S = 10.0
-MAX_TRIES = 4
+MAX_ATTEMPTS = 4
 SEED = 7
 REASON_HEADER = b"plantainshed-reason"
 OUTCOME_HEADER = b"plantainshed-outcome"
@@ -64,7 +64,7 @@
         Counts the results.
     rate : float
         Requests per second. It is below the workspace's rate limit, so that every
-        refusal because of the rate limit is wrong.
+        refusal because of the rate limit is a fault.
     """
 
     client: str
@@ -82,7 +82,7 @@
         self.tally.sent += 1
         nonce = secrets.token_hex(8)
         operation = ""
-        for attempt in range(MAX_TRIES):
+        for attempt in range(MAX_ATTEMPTS):
             entry = await self._choose_entry(request, attempt)
             if entry is None:
                 await trio.sleep(0.1)
@@ -112,6 +112,7 @@
         self.tally.lost += 1
 
     def _should_retry(self, head: ResponseHead) -> bool:
+        """Count a refused attempt and return whether to retry the request."""
         reason = head.header(REASON_HEADER) or f"http_{head.status}"
         self.tally.record_refusal(reason)
         return reason in ("no_room", "no_target", "not_ready", "operation_in_progress")
--- a/packages/operator/plantainshed/demo/story.py
+++ b/packages/operator/plantainshed/demo/story.py
@@ -29,7 +29,7 @@
 
 
 async def run_demo(deployment_name: str, write_line=print) -> Outcomes:
-    """Run a deployment under load, and operate it meanwhile.
+    """Run a deployment under load while an operator changes it.
 
     The operations are the drain of a target, the withdrawal of a key, a change of the
     configuration and the graceful stop of a VM.
--- a/tests/measure/test_limits_model.py
+++ b/tests/measure/test_limits_model.py
@@ -7,7 +7,7 @@
 from plantainshed_measure.limits_checks import (
     RequestHistory,
     RequestOutcome,
-    count_wrongful_refusals,
+    count_refusals_within_rate,
     fullest_window,
 )
 from plantainshed_measure.limits_faults import FaultKind
@@ -123,15 +123,15 @@
         history = history_of([])
         refused = [RequestOutcome(at, at, 0.0, False) for at in (0.1, 0.2)]
         history.requests["comune"] = refused
-        within_rate, turned_away = count_wrongful_refusals(
+        within_rate, refused_by_period = count_refusals_within_rate(
             history, BOUNDS, "comune", lambda at: "calm"
         )
-        self.assertEqual((within_rate["calm"], turned_away["calm"]), (2, 2))
+        self.assertEqual((within_rate["calm"], refused_by_period["calm"]), (2, 2))
         history.requests["comune"] = refused * 26
-        within_rate, turned_away = count_wrongful_refusals(
+        within_rate, refused_by_period = count_refusals_within_rate(
             history, BOUNDS, "comune", lambda at: "calm"
         )
-        self.assertEqual((within_rate["calm"], turned_away["calm"]), (26, 26))
+        self.assertEqual((within_rate["calm"], refused_by_period["calm"]), (26, 26))
 
 
 class TestFiles(unittest.TestCase):
