--- a/packages/measure/plantainshed_measure/callers.py
+++ b/packages/measure/plantainshed_measure/callers.py
@@ -24,11 +24,11 @@
 
 
 @frozen
-class CachedAnswer:
+class CachedLookup:
     """The answer to a look-up and the time when it expires."""
 
     answer: LookupAnswer
-    until: float
+    expires_at: float
 
 
 @define
@@ -42,7 +42,7 @@
     ----------
     rng : random.Random
         Chooses client blocks and paths.
-    cache : dict of (str, str) to CachedAnswer
+    lookup_cache : dict of (str, str) to CachedLookup
         Look-ups by client address and pool.
     request_count : int
         Numbers the requests.
@@ -53,7 +53,7 @@
     rig: Rig
     tally: Tally
     rng: random.Random = field(factory=lambda: random.Random(SEED))
-    cache: dict[tuple[str, str], CachedAnswer] = field(factory=dict)
+    lookup_cache: dict[tuple[str, str], CachedLookup] = field(factory=dict)
     request_count: int = 0
     lookup_turn: int = 0
 
@@ -77,12 +77,12 @@
             await trio.sleep(self._delay(home, entry.failure_domain))
             if was_answered is None:
                 operation = ""
-                self.cache.clear()
+                self.lookup_cache.clear()
                 await trio.sleep(CONNECT_FAILURE_S)
                 continue
             if not was_answered:
                 self.tally.cut += self._was_planned_stop(entry.vm)
-                self.cache.clear()
+                self.lookup_cache.clear()
                 continue
             if exchange.response.status == 200:
                 seconds = trio.current_time() - began_at
@@ -133,13 +133,13 @@
 
     def _choose_entry(self, client: str, pool: str, attempt: int):
         key = (client, pool)
-        cached = self.cache.get(key)
-        if cached is None or cached.until <= trio.current_time():
+        cached = self.lookup_cache.get(key)
+        if cached is None or cached.expires_at <= trio.current_time():
             answer = self._look_up(client, pool)
             if answer is None:
                 return None
-            cached = CachedAnswer(answer, trio.current_time() + answer.ttl_s)
-            self.cache[key] = cached
+            cached = CachedLookup(answer, trio.current_time() + answer.ttl_s)
+            self.lookup_cache[key] = cached
         entries = cached.answer.entries
         return entries[attempt % len(entries)]
 
--- a/tests/measure/test_limits_model.py
+++ b/tests/measure/test_limits_model.py
@@ -34,7 +34,7 @@
     return history
 
 
-class TestLimitsOfModels(unittest.TestCase):
+class TestSimulations(unittest.TestCase):
     def test_no_fault_exceeds_quota_in_short_simulations(self):
         """Guards against a kind of fault that makes VMs admit more than the quota."""
         for kind in FaultKind:
@@ -118,8 +118,8 @@
             window = fullest_window(history, BOUNDS, "comune")
             self.assertEqual(window.exceeds_bound, is_over, at)
 
-    def test_refusals_over_rate_are_not_wrongful(self):
-        """Guards against counting refusals of a workspace over its rate as wrongful."""
+    def test_refusals_over_rate_are_not_counted(self):
+        """Guards against counting refusals of requests that exceed the rate."""
         history = history_of([])
         refused = [RequestOutcome(at, at, 0.0, False) for at in (0.1, 0.2)]
         history.requests["comune"] = refused
