--- a/packages/measure/plantainshed_measure/limits_demand.py
+++ b/packages/measure/plantainshed_measure/limits_demand.py
@@ -51,7 +51,7 @@
 
 
 def draw_workspaces(rng: random.Random) -> list[Workspace]:
-    """Draw the workspaces of a simulation; the first one is to exceed its rate."""
+    """Draw the workspaces of a simulation; only the first, hot one exceeds its rate."""
     rate = rng.choice(HOT_RATES)
     hot = Workspace(HOT_WORKSPACE, None, rate, round(rate * rng.uniform(0.5, 2.0)))
     return [hot, *QUIET_WORKSPACES]
--- a/packages/measure/plantainshed_measure/limits_faults.py
+++ b/packages/measure/plantainshed_measure/limits_faults.py
@@ -26,7 +26,7 @@
 LEAVE_DELAY_S = 2.0
 # Longest time that a VM searches for a target before it gives up on a request.
 ROUTE_TIMEOUT_S = 1.2
-# Share of the faults of a mix that need not begin during the first fault.
+# Share of the later faults of a mix whose start is not moved into the first fault.
 SEPARATE_SHARE = 0.3
 
 
--- a/packages/measure/plantainshed_measure/tally.py
+++ b/packages/measure/plantainshed_measure/tally.py
@@ -19,6 +19,9 @@
     fleet's admissions, `deepest` is the largest number of tokens by which the fleet
     exceeded the bucket. Given the arrivals, `refused` is the number of requests
     that a single bucket would refuse too.
+
+    The digest of a replay contains the names of these fields, so renaming one changes
+    the digest.
     """
 
     rate: float
--- a/packages/measure/plantainshed_measure/trace.py
+++ b/packages/measure/plantainshed_measure/trace.py
@@ -60,7 +60,7 @@
 
 @frozen
 class Trace:
-    """A trace file in memory.
+    """The contents of a trace file.
 
     Parameters
     ----------
--- a/packages/operator/plantainshed/demo/outcomes.py
+++ b/packages/operator/plantainshed/demo/outcomes.py
@@ -84,7 +84,10 @@
     drain_s: float | None = None
 
     def as_fields(self) -> dict:
-        """Return the results as plain values, for output as JSON."""
+        """Return the results as plain values, for output as JSON.
+
+        Every refusal counts as wrongful, as callers stay below their rate limits.
+        """
         tally = self.tally
         return {
             "sent": tally.sent,
