--- a/packages/measure/plantainshed_measure/faults.py
+++ b/packages/measure/plantainshed_measure/faults.py
@@ -38,7 +38,7 @@
             target.crash()
     await trio.sleep(8.0)
     for vm in vms:
-        rig.unlist_vm(vm)
+        rig.forget_vm(vm)
 
 
 async def replace_all(rig: Rig, tally: Tally, gap_s: float = 0.5):
--- a/packages/measure/plantainshed_measure/rig.py
+++ b/packages/measure/plantainshed_measure/rig.py
@@ -210,7 +210,7 @@
             scope.cancel()
         self.network.transports.pop(vm, None)
 
-    def unlist_vm(self, vm: str):
+    def forget_vm(self, vm: str):
         """Remove a VM from the platform's list."""
         self.platform.vms.pop(vm, None)
 
@@ -220,7 +220,7 @@
         self.planned_stops.add(vm)
         await running.node.leave(running.close, LEAVE_TIMEOUT_S)
         self.kill_vm(vm)
-        self.unlist_vm(vm)
+        self.forget_vm(vm)
 
     async def replace_vm(self, vm: str, gap_s: float = 0.5):
         """Shut a VM down gracefully and restart it after ``gap_s`` seconds."""
