--- a/packages/measure/plantainshed_measure/limits_faults.py
+++ b/packages/measure/plantainshed_measure/limits_faults.py
@@ -12,8 +12,8 @@
 from .limits_demand import HOT_WORKSPACE
 from .limits_model import ModelFleet, VmLocation
 
-# Time after a fault in which VMs receive each other's heartbeats again and the
-# shares of the quota are redistributed.
+# Time after the end of a fault until the VMs have received each other's heartbeats
+# again and have redistributed the shares of the quota.
 HEALING_S = 8.0
 # Earliest start of a fault, except for an early network cut.
 WARMUP_S = 0.3
@@ -26,7 +26,7 @@
 LEAVE_DELAY_S = 2.0
 # Longest time that a VM searches for a target before it gives up on a request.
 ROUTE_TIMEOUT_S = 1.2
-# Share of the faults of a mix that need not begin during the first fault.
+# Share of the later faults of a mix whose start is not moved into the first fault.
 SEPARATE_SHARE = 0.3
 
 
--- a/packages/measure/plantainshed_measure/tally.py
+++ b/packages/measure/plantainshed_measure/tally.py
@@ -19,6 +19,9 @@
     fleet's admissions, `deepest` is the largest number of tokens by which the fleet
     exceeded the bucket. Given the arrivals, `refused` is the number of requests
     that a single bucket would refuse too.
+
+    The digest of a replay contains the names of these fields, so renaming one changes
+    the digest.
     """
 
     rate: float
@@ -124,7 +127,7 @@
         self.workspaces[workspace].refused[reason] += 1
 
     def count_wrongful_refusals(self) -> int:
-        """Return the number of refusals in excess of those of a single bucket."""
+        """Return the number of refusals that a single token bucket would not make."""
         total = 0
         for name, counted in self.workspaces.items():
             refused = sum(counted.refused[reason] for reason in RATE_REASONS)
